--- a/engines/budget/bucket.go
+++ b/engines/budget/bucket.go
@@ -17,7 +17,7 @@
 // newBucket returns the bucket of a process that has just begun. It has one repeat, since
 // the extra of the process before it may be spent.
 func newBucket(cfg Config) bucket {
-	return bucket{tokens: min(1, cfg.Extra), filled: cfg.Since}
+	return bucket{tokens: min(1, cfg.Extra), filled: cfg.StartedAt}
 }
 
 // fill adds the extra of the time since it was last added. base is how many requests callers
--- a/engines/budget/budget.go
+++ b/engines/budget/budget.go
@@ -33,8 +33,8 @@
 	// Lag is how long after it was taken a repeat may still arrive. More than a window
 	// counts as a window.
 	Lag clock.Millis
-	// Since is when this process began to take requests.
-	Since clock.Millis
+	// StartedAt is when this process began to take requests.
+	StartedAt clock.Millis
 }
 
 // Budget counts the requests and the repeats of one service.
@@ -50,35 +50,35 @@
 	// Requests is how many requests were counted, Spent how many repeats were taken, and
 	// Denied how many more were asked for.
 	Requests, Spent, Denied uint64
-	// Least is the least that was left when a repeat was asked for, since the call of
+	// MinRemaining is the least that was left when a repeat was asked for, since the call of
 	// Usage before; it is what is left now if none was.
-	Least float64
+	MinRemaining float64
 }
 
 // New returns a budget that has counted nothing.
 func New(cfg Config) *Budget {
-	return &Budget{cfg: cfg, bucket: newBucket(cfg), usage: Usage{Least: math.Inf(1)}}
+	return &Budget{cfg: cfg, bucket: newBucket(cfg), usage: Usage{MinRemaining: math.Inf(1)}}
 }
 
-// Set changes what is allowed. What was counted stays, unless the window is
+// Configure changes what is allowed. What was counted stays, unless the window is
 // another.
-func (b *Budget) Set(cfg Config) {
+func (b *Budget) Configure(cfg Config) {
 	if cfg.Window != b.cfg.Window {
 		b.window = window{}
 	}
 	b.cfg = cfg
 }
 
-// Request counts a request that is about to be sent for the first time.
-func (b *Budget) Request(now clock.Millis) {
+// RecordRequest counts a request that is about to be sent for the first time.
+func (b *Budget) RecordRequest(now clock.Millis) {
 	b.window.at(b.cfg, now).requests++
 	b.bucket.fill(b.cfg, now, b.window.base(b.cfg))
 	b.bucket.request(b.cfg)
 	b.usage.Requests++
 }
 
-// Left returns how many repeats are allowed now.
-func (b *Budget) Left(now clock.Millis) float64 {
+// Remaining returns how many repeats are allowed now.
+func (b *Budget) Remaining(now clock.Millis) float64 {
 	b.window.at(b.cfg, now)
 	base := b.window.base(b.cfg)
 	b.bucket.fill(b.cfg, now, base)
@@ -87,8 +87,8 @@
 
 // Spend takes one repeat, or reports that none is left.
 func (b *Budget) Spend(now clock.Millis) bool {
-	left := b.Left(now)
-	b.usage.Least = min(b.usage.Least, left)
+	left := b.Remaining(now)
+	b.usage.MinRemaining = min(b.usage.MinRemaining, left)
 	if left < 1 {
 		b.usage.Denied++
 		return false
@@ -102,7 +102,7 @@
 // Usage returns what was counted.
 func (b *Budget) Usage(now clock.Millis) Usage {
 	u := b.usage
-	u.Least = min(u.Least, b.Left(now))
-	b.usage.Least = math.Inf(1)
+	u.MinRemaining = min(u.MinRemaining, b.Remaining(now))
+	b.usage.MinRemaining = math.Inf(1)
 	return u
 }
--- a/engines/budget/budget_test.go
+++ b/engines/budget/budget_test.go
@@ -22,7 +22,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 1500).Draw(t, "pass"))
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now)
+				b.RecordRequest(now)
 				requests = append(requests, now)
 			} else if b.Spend(now) {
 				repeats = append(repeats, now)
@@ -56,14 +56,14 @@
 			t.Fatalf("got none left after %d", n)
 		}
 	}
-	b.Set(budget.Config{Window: 1000, Extra: 5})
-	if got, most := b.Left(10_001), 1.0; got > most {
+	b.Configure(budget.Config{Window: 1000, Extra: 5})
+	if got, most := b.Remaining(10_001), 1.0; got > most {
 		t.Errorf("got %v left after a change, want at most %v", got, most)
 	}
-	if got, want := b.Left(10_900), 1.0; got != want {
+	if got, want := b.Remaining(10_900), 1.0; got != want {
 		t.Errorf("got %v left when the extra is earned, want the %v that the change added to the window", got, want)
 	}
-	if got, want := b.Left(12_000), 5.0; got != want {
+	if got, want := b.Remaining(12_000), 5.0; got != want {
 		t.Errorf("got %v left in the next window, want %v", got, want)
 	}
 }
@@ -71,15 +71,15 @@
 // What a budget counted is told, and the least that was left since it was told before.
 func TestABudgetTellsWhatItCounted(t *testing.T) {
 	b := budget.New(budget.Config{Window: 1000, Extra: 2})
-	b.Request(10)
-	b.Request(20)
+	b.RecordRequest(10)
+	b.RecordRequest(20)
 	for range 4 {
 		b.Spend(1000)
 	}
-	if got, want := b.Usage(1000), (budget.Usage{Requests: 2, Spent: 2, Denied: 2, Least: 0}); got != want {
+	if got, want := b.Usage(1000), (budget.Usage{Requests: 2, Spent: 2, Denied: 2, MinRemaining: 0}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if got, want := b.Usage(5000), (budget.Usage{Requests: 2, Spent: 2, Denied: 2, Least: 2}); got != want {
+	if got, want := b.Usage(5000), (budget.Usage{Requests: 2, Spent: 2, Denied: 2, MinRemaining: 2}); got != want {
 		t.Errorf("got %+v a window later, want %+v", got, want)
 	}
 }
--- a/engines/budget/fleet_test.go
+++ b/engines/budget/fleet_test.go
@@ -88,7 +88,7 @@
 }
 
 func (f *fleet) start(e *entry) {
-	e.budget = budget.New(budget.Config{Ratio: ratio, Extra: f.extra / float64(max(parts, lives*len(f.entries))), Window: window, Lag: heldMost, Since: f.now})
+	e.budget = budget.New(budget.Config{Ratio: ratio, Extra: f.extra / float64(max(parts, lives*len(f.entries))), Window: window, Lag: heldMost, StartedAt: f.now})
 	e.down = false
 }
 
@@ -121,7 +121,7 @@
 	f.sent = append(f.sent, f.now)
 	f.arrived = append(f.arrived, nil)
 	f.atEntry(e, 1+e.lag(f.now), func() {
-		e.budget.Request(f.now)
+		e.budget.RecordRequest(f.now)
 		f.attempt(e, id, 0)
 	})
 }
--- a/engines/budget/window.go
+++ b/engines/budget/window.go
@@ -43,7 +43,7 @@
 // than were sent. So base is the least mean of all stretches of one to two windows that end
 // now. None begins before the process did, since nothing waited for it.
 func (w *window) base(cfg Config) float64 {
-	life := w.latest - cfg.part(cfg.Since)
+	life := w.latest - cfg.part(cfg.StartedAt)
 	n, least := 0, math.Inf(1)
 	for age := range 1 + max(parts, min(slices-1, life)) {
 		n += w.ago(age).requests
--- a/engines/duration/duration.go
+++ b/engines/duration/duration.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// Run is the number of events over which a pace is measured. Single pauses
+	// RunEvents is the number of events over which a pace is measured. Single pauses
 	// of a stream differ by more than ten times, runs of eight by about two.
-	Run = 8
+	RunEvents = 8
 	// leastRuns is how many runs must have been seen of a service before its
 	// usual pace is known.
 	leastRuns = 4
@@ -41,9 +41,9 @@
 	// the longest seen.
 	plainShare               = 1.25
 	plainMargin clock.Millis = 300
-	// Longest is for how long any request is held whose route publishes no
+	// DefaultTimeout is for how long any request is held whose route publishes no
 	// timeout.
-	Longest clock.Millis = 600_000
+	DefaultTimeout clock.Millis = 600_000
 	// routesMost and servicesMost bound what is remembered: 4 KB each.
 	routesMost   = 256
 	servicesMost = 64
@@ -53,14 +53,14 @@
 type Basis string
 
 const (
-	// Events is the most events that the answer can have, at the pace of the
+	// BasisEvents is the most events that the answer can have, at the pace of the
 	// service.
-	Events Basis = "events"
-	// Timeout is the route's published timeout: nothing better is known.
-	Timeout Basis = "timeout"
-	// Seen is the longest of the plain answers seen. It is no bound: one that is
+	BasisEvents Basis = "events"
+	// BasisTimeout is the route's published timeout: nothing better is known.
+	BasisTimeout Basis = "timeout"
+	// BasisObserved is the longest of the plain answers seen. It is no bound: one that is
 	// not whole in time is answered as a failure.
-	Seen Basis = "seen"
+	BasisObserved Basis = "seen"
 )
 
 // Request is what is known of an answer before it begins.
@@ -68,24 +68,24 @@
 	Route *table.Route
 	// Service names what the pace was recorded for.
 	Service string
-	// Events is the most events that the answer can have, 0 if that is not known.
-	Events int
+	// MaxEvents is the most events that the answer can have, 0 if that is not known.
+	MaxEvents int
 }
 
 // Estimate says how long an answer takes.
 type Estimate struct {
-	// Most is what it does not exceed by its Basis: by Events one of 79,749 answers
+	// Max is what it does not exceed by its Basis: by Events one of 79,749 answers
 	// did that were drawn in a test; by Seen, some will.
-	Most clock.Millis
-	// Usual is what one of full length takes at the usual pace; at most Most.
-	Usual clock.Millis
-	Basis Basis
+	Max clock.Millis
+	// Typical is what one of full length takes at the usual pace; at most Most.
+	Typical clock.Millis
+	Basis   Basis
 	// Samples is how many measurements the estimate rests on.
 	Samples int
 }
 
-// Answers remembers how long answers took. It is safe for concurrent use.
-type Answers struct {
+// Estimator remembers how long answers took. It is safe for concurrent use.
+type Estimator struct {
 	mu       sync.Mutex
 	routes   map[string]*route
 	services map[string]*pace
@@ -104,8 +104,8 @@
 func (p *pace) end(events int, took clock.Millis) {
 	p.rest += events
 	p.restTook += took
-	if p.rest >= Run {
-		p.runs.add(Run * p.restTook / clock.Millis(p.rest))
+	if p.rest >= RunEvents {
+		p.runs.add(RunEvents * p.restTook / clock.Millis(p.rest))
 		p.rest, p.restTook = 0, 0
 	}
 }
@@ -130,11 +130,13 @@
 	long bool
 }
 
-// New returns Answers that have seen nothing.
-func New() *Answers { return &Answers{routes: map[string]*route{}, services: map[string]*pace{}} }
+// NewEstimator returns Answers that have seen nothing.
+func NewEstimator() *Estimator {
+	return &Estimator{routes: map[string]*route{}, services: map[string]*pace{}}
+}
 
-// First records the time until the first event of a stream.
-func (a *Answers) First(name string, took clock.Millis) {
+// RecordFirstEvent records the time until the first event of a stream.
+func (a *Estimator) RecordFirstEvent(name string, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r := a.route(name); r != nil {
@@ -142,9 +144,9 @@
 	}
 }
 
-// FirstSign returns the longest time until one of the latest answers of a route showed a
+// MaxTimeToFirstOutput returns the longest time until one of the latest answers of a route showed a
 // sign: the first event of a stream, all of a plain answer. It is 0 if none came.
-func (a *Answers) FirstSign(r *table.Route) clock.Millis {
+func (a *Estimator) MaxTimeToFirstOutput(r *table.Route) clock.Millis {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	seen := a.routes[r.Name]
@@ -157,8 +159,8 @@
 	return seen.wholes.longest()
 }
 
-// Whole records the time of a whole answer.
-func (a *Answers) Whole(name string, took clock.Millis) {
+// RecordResponse records the time of a whole answer.
+func (a *Estimator) RecordResponse(name string, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r := a.route(name); r != nil {
@@ -166,10 +168,10 @@
 	}
 }
 
-// Long records that a route has plain answers that are passed on as they come.
+// RecordPassThrough records that a route has plain answers that are passed on as they come.
 // One that ends early cannot be told as a failure, so only the timeout bounds
 // them.
-func (a *Answers) Long(name string) {
+func (a *Estimator) RecordPassThrough(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r := a.route(name); r != nil {
@@ -177,10 +179,10 @@
 	}
 }
 
-// Pace records the time of a run of events of a route at a service. It is told
+// RecordRun records the time of a run of events of a route at a service. It is told
 // while a stream goes on, so that long ones count as much as those that have
 // ended.
-func (a *Answers) Pace(name, service string, took clock.Millis) {
+func (a *Estimator) RecordRun(name, service string, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, p := range a.paces(name, service) {
@@ -188,10 +190,10 @@
 	}
 }
 
-// Rest records the time of the events that came after the last run of a stream.
+// RecordTail records the time of the events that came after the last run of a stream.
 // Without them nothing would be known of a service whose streams are shorter
 // than a run.
-func (a *Answers) Rest(name, service string, events int, took clock.Millis) {
+func (a *Estimator) RecordTail(name, service string, events int, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, p := range a.paces(name, service) {
@@ -201,7 +203,7 @@
 
 // paces returns what is known of the pace of a service and of a route, without
 // those of which no more can be remembered. The caller holds mu.
-func (a *Answers) paces(name, service string) []*pace {
+func (a *Estimator) paces(name, service string) []*pace {
 	var out []*pace
 	s := a.services[service]
 	if s == nil && len(a.services) < servicesMost {
@@ -219,7 +221,7 @@
 
 // route returns what is known of a route, nil if no more can be remembered.
 // The caller holds mu.
-func (a *Answers) route(name string) *route {
+func (a *Estimator) route(name string) *route {
 	r := a.routes[name]
 	if r == nil && len(a.routes) < routesMost {
 		r = &route{}
@@ -229,7 +231,7 @@
 }
 
 // Estimate says how long the answer to a request takes.
-func (a *Answers) Estimate(req Request) Estimate {
+func (a *Estimator) Estimate(req Request) Estimate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	seen := a.routes[req.Route.Name]
@@ -240,18 +242,18 @@
 		return plain(req.Route, seen)
 	}
 	s := a.services[req.Service]
-	if req.Events == 0 || s == nil || s.runs.n < leastRuns {
+	if req.MaxEvents == 0 || s == nil || s.runs.n < leastRuns {
 		return unknown(req.Route)
 	}
 	return stream(req, seen, s)
 }
 
 // held is for how long a request of a route is held.
-func held(r *table.Route) clock.Millis { return cmp.Or(r.Timeout, Longest) }
+func held(r *table.Route) clock.Millis { return cmp.Or(r.Timeout, DefaultTimeout) }
 
 // unknown is the estimate where nothing better than that is known.
 func unknown(r *table.Route) Estimate {
-	return Estimate{Most: held(r), Usual: held(r), Basis: Timeout}
+	return Estimate{Max: held(r), Typical: held(r), Basis: BasisTimeout}
 }
 
 func plain(r *table.Route, seen *route) Estimate {
@@ -259,7 +261,7 @@
 		return unknown(r)
 	}
 	most := min(held(r), clock.Millis(plainShare*float64(seen.wholes.longest()))+plainMargin)
-	return Estimate{Most: most, Usual: most, Basis: Seen, Samples: seen.wholes.n}
+	return Estimate{Max: most, Typical: most, Basis: BasisObserved, Samples: seen.wholes.n}
 }
 
 // stream estimates a stream whose length is known. Its pace is that of the
@@ -267,17 +269,17 @@
 func stream(req Request, seen *route, s *pace) Estimate {
 	goal := req.Route.GoalOrUsual()
 	first := max(firstGoals*goal, clock.Millis(firstShare*float64(seen.firsts.longest())))
-	usual := min(held(req.Route), goal+events(req.Events, s.slower(&seen.pace, 0.5)))
+	usual := min(held(req.Route), goal+events(req.MaxEvents, s.slower(&seen.pace, 0.5)))
 	if s.runs.n < boundRuns {
-		return Estimate{Most: held(req.Route), Usual: usual, Basis: Timeout, Samples: s.runs.n}
+		return Estimate{Max: held(req.Route), Typical: usual, Basis: BasisTimeout, Samples: s.runs.n}
 	}
-	most := min(held(req.Route), max(first+events(req.Events, s.slower(&seen.pace, slowRuns))+req.Route.PauseGoal, seen.wholes.longest()))
-	return Estimate{Most: most, Usual: min(usual, most), Basis: Events, Samples: s.runs.n}
+	most := min(held(req.Route), max(first+events(req.MaxEvents, s.slower(&seen.pace, slowRuns))+req.Route.PauseGoal, seen.wholes.longest()))
+	return Estimate{Max: most, Typical: min(usual, most), Basis: BasisEvents, Samples: s.runs.n}
 }
 
 // events is how long n events take where a run takes so long.
 func events(n int, run clock.Millis) clock.Millis {
-	return clock.Millis(math.Ceil(float64(n) * float64(run) / Run))
+	return clock.Millis(math.Ceil(float64(n) * float64(run) / RunEvents))
 }
 
 // latestMost is how many measurements are remembered of each kind: a few
--- a/engines/duration/stops_test.go
+++ b/engines/duration/stops_test.go
@@ -36,8 +36,8 @@
 	engine := []float64{1, 1, 1.3}[rng.IntN(3)]
 	events := min(most, int(math.Ceil(0.3*float64(most)*math.Exp(0.7*rng.NormFloat64()))))
 	d := drawn{first: clock.Millis(20 + 80*rng.ExpFloat64())}
-	for range (events + duration.Run - 1) / duration.Run {
-		run := 22 * duration.Run * engine * math.Exp(0.25*rng.NormFloat64())
+	for range (events + duration.RunEvents - 1) / duration.RunEvents {
+		run := 22 * duration.RunEvents * engine * math.Exp(0.25*rng.NormFloat64())
 		if rng.IntN(20) == 0 {
 			run *= 2.5
 		}
@@ -56,17 +56,17 @@
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	var o outcome
 	for range 1000 {
-		a, longest := duration.New(), clock.Millis(0)
+		a, longest := duration.NewEstimator(), clock.Millis(0)
 		for range n {
 			d := draw(rng, most)
-			a.First(streamed.Name, d.first)
-			a.Whole(streamed.Name, d.whole())
+			a.RecordFirstEvent(streamed.Name, d.first)
+			a.RecordResponse(streamed.Name, d.whole())
 			for _, r := range d.runs {
-				a.Pace(streamed.Name, "llm", r)
+				a.RecordRun(streamed.Name, "llm", r)
 			}
 			longest = max(longest, d.whole())
 		}
-		e := a.Estimate(duration.Request{Route: streamed, Service: "llm", Events: most})
+		e := a.Estimate(duration.Request{Route: streamed, Service: "llm", MaxEvents: most})
 		for range 20 {
 			at := since + clock.Millis(rng.Int64N(int64(end-since)))
 			o.asked++
@@ -89,7 +89,7 @@
 	var all outcome
 	for _, most := range []int{16, 52, 100, 184} {
 		for _, n := range []int{1, 3, 10, 30, 100, 500} {
-			got := stops(n, most, noticed, stopRoom, func(e duration.Estimate, _ clock.Millis) clock.Millis { return e.Most })
+			got := stops(n, most, noticed, stopRoom, func(e duration.Estimate, _ clock.Millis) clock.Millis { return e.Max })
 			byLongest := stops(n, most, noticed, stopRoom, func(_ duration.Estimate, longest clock.Millis) clock.Millis {
 				return longest + longest/4 + 300
 			})
@@ -107,7 +107,7 @@
 // what usually ends in time. The chance that it does not is small.
 func TestWhatIsTakenByItsUsualTimeIsSeldomCut(t *testing.T) {
 	for _, n := range []int{1, 3, 10, 30, 100, 500} {
-		got := stops(n, 184, 0, noticed, func(e duration.Estimate, _ clock.Millis) clock.Millis { return e.Usual })
+		got := stops(n, 184, 0, noticed, func(e duration.Estimate, _ clock.Millis) clock.Millis { return e.Typical })
 		t.Logf("%3d seen: %5d of %d taken, %d cut", n, got.taken, got.asked, got.cut)
 		if most := got.taken / 100; got.cut > most {
 			t.Errorf("got %d answers cut of %d taken after %d were seen, want at most one in 100", got.cut, got.taken, n)
--- a/engines/quarantine/breaks.go
+++ b/engines/quarantine/breaks.go
@@ -39,7 +39,7 @@
 		b.drop(func(o broken) bool { return o.at == oldest })
 	}
 	b.latest = append(b.latest, broken{a, now})
-	b.shapes[a.Shape]++
+	b.shapes[a.Fingerprint]++
 }
 
 func (b *breaks) expire(now clock.Millis) {
@@ -54,8 +54,8 @@
 			return false
 		}
 		out = append(out, o)
-		if b.shapes[o.Shape]--; b.shapes[o.Shape] == 0 {
-			delete(b.shapes, o.Shape)
+		if b.shapes[o.Fingerprint]--; b.shapes[o.Fingerprint] == 0 {
+			delete(b.shapes, o.Fingerprint)
 		}
 		return true
 	})
@@ -67,7 +67,7 @@
 // Silence is found out later the longer a request waits for a sign.
 func (b *breaks) take(life uint32, now clock.Millis) []broken {
 	b.expire(now)
-	of := b.drop(func(o broken) bool { return o.Life == life })
+	of := b.drop(func(o broken) bool { return o.Incarnation == life })
 	last := clock.Millis(0)
 	for _, o := range of {
 		if !o.Silent {
@@ -81,5 +81,5 @@
 // than their break, and returns them. For a moment what the engine had sent before may
 // still be read.
 func (b *breaks) alive(life uint32, since, now clock.Millis) []broken {
-	return b.drop(func(o broken) bool { return o.Life == life && since+drift < o.at && now > o.at+aliveAfter })
+	return b.drop(func(o broken) bool { return o.Incarnation == life && since+drift < o.at && now > o.at+aliveAfter })
 }
--- a/engines/quarantine/dark_test.go
+++ b/engines/quarantine/dark_test.go
@@ -11,7 +11,7 @@
 
 // dark records that a life of an engine went dark under a request that was sent at a time.
 func dark(l *quarantine.List, d quarantine.Digest, life uint32, sent clock.Millis) {
-	l.Dark(attempt(d, life), sent, sent+450)
+	l.RecordUnresponsive(attempt(d, life), sent, sent+450)
 }
 
 // failDark has a suspect go dark with the engine of its trial.
@@ -20,10 +20,10 @@
 	if a, ok := l.Admit(d, false, now).(quarantine.Trial); !ok {
 		t.Fatalf("got %T at %d, want a trial", a, now)
 	}
-	l.Placed(d, life, now)
+	l.StartTrial(d, life, now)
 	a := attempt(d, life)
 	a.Trial = true
-	l.Dark(a, now, now+450)
+	l.RecordUnresponsive(a, now, now+450)
 }
 
 // A request under which engines go dark is held back as one that ends them, but for some
@@ -31,7 +31,7 @@
 func TestARequestUnderWhichEnginesGoDarkIsHeldBackForMinutes(t *testing.T) {
 	l := newList()
 	dark(l, marked, 1, 1000)
-	if a := l.Admit(marked, false, 1500); a != (quarantine.Free{}) {
+	if a := l.Admit(marked, false, 1500); a != (quarantine.Allowed{}) {
 		t.Errorf("got %#v after one engine went dark, want it free", a)
 	}
 	dark(l, marked, 2, 1200)
@@ -71,28 +71,28 @@
 		"engines heard since, on newer connections": {func(l *quarantine.List) {
 			dark(l, marked, 1, 1000)
 			dark(l, marked, 2, 2000)
-			l.Alive(1, 4000, 4100)
-			l.Alive(2, 4000, 4100)
+			l.RecordAlive(1, 4000, 4100)
+			l.RecordAlive(2, 4000, 4100)
 		}, 0},
 		"an engine of which earlier bytes are read": {func(l *quarantine.List) {
 			dark(l, marked, 1, 1000)
-			l.Alive(1, 500, 1900)
+			l.RecordAlive(1, 500, 1900)
 		}, 1},
 		"a copy that ran well while it waited": {func(l *quarantine.List) {
 			dark(l, marked, 1, 1000)
-			l.Well(marked, 2300)
+			l.RecordSuccess(marked, 2300)
 			dark(l, marked, 2, 2200)
 		}, 0},
 		"the list tells the end of the engine, which is not heard": {func(l *quarantine.List) {
 			dark(l, marked, 1, 1000)
-			l.Broke(attempt(marked, 1), 1600)
-			l.LifeEnded(1, 3000)
+			l.RecordBrokenAttempt(attempt(marked, 1), 1600)
+			l.RecordIncarnationEnd(1, 3000)
 		}, 1},
 		"the list tells the end of the engine": {func(l *quarantine.List) {
 			dark(l, marked, 1, 1000)
-			l.Broke(attempt(marked, 1), 1600)
-			l.LifeEnded(1, 3000)
-			l.Alive(1, 5000, 6000)
+			l.RecordBrokenAttempt(attempt(marked, 1), 1600)
+			l.RecordIncarnationEnd(1, 3000)
+			l.RecordAlive(1, 5000, 6000)
 		}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -125,9 +125,9 @@
 // An entry that has just started takes an end for a suspect's, and a dark engine for less.
 func TestADarkEngineProvesLessWhereNobodyRemembers(t *testing.T) {
 	l := newList()
-	l.SetAmnesia(60_000)
+	l.SetHistoryLostUntil(60_000)
 	dark(l, marked, 1, 1000)
-	if a := l.Admit(marked, false, 1500); a != (quarantine.Free{}) {
+	if a := l.Admit(marked, false, 1500); a != (quarantine.Allowed{}) {
 		t.Errorf("got %#v after one engine went dark, want it free", a)
 	}
 	dark(l, marked, 2, 1200)
@@ -138,8 +138,8 @@
 }
 
 func TestWordOfDarkEnginesWithoutAnEndIsRefused(t *testing.T) {
-	good, err := base64.RawStdEncoding.DecodeString(quarantine.News{{
-		Digest: marked, Ends: []quarantine.EndedUnder{{ID: 9, Life: 1, Age: 70, Dark: true}},
+	good, err := base64.RawStdEncoding.DecodeString(quarantine.Reports{{
+		Digest: marked, Crashes: []quarantine.ReportedCrash{{ID: 9, Incarnation: 1, Age: 70, Unresponsive: true}},
 	}}.Pack())
 	if err != nil {
 		t.Fatal(err)
@@ -147,12 +147,12 @@
 	last := len(good) - 1
 	for _, dark := range []byte{0, 2, 3, 0x80} {
 		good[last] = dark
-		if n, err := quarantine.Unpack(base64.RawStdEncoding.EncodeToString(good)); !errors.Is(err, quarantine.ErrBadNews) {
+		if n, err := quarantine.Unpack(base64.RawStdEncoding.EncodeToString(good)); !errors.Is(err, quarantine.ErrInvalidReports) {
 			t.Errorf("got %v, %v for bits %x of one end, want it refused", n, err, dark)
 		}
 	}
 	good[last] = 1
-	if n, err := quarantine.Unpack(base64.RawStdEncoding.EncodeToString(good)); err != nil || len(n) != 1 || !n[0].Ends[0].Dark {
+	if n, err := quarantine.Unpack(base64.RawStdEncoding.EncodeToString(good)); err != nil || len(n) != 1 || !n[0].Crashes[0].Unresponsive {
 		t.Errorf("got %v, %v, want one dark engine", n, err)
 	}
 }
@@ -162,19 +162,19 @@
 	here, there := newList(), newList()
 	dark(here, marked, 1, 1000)
 	ended(here, marked, 2, 2000)
-	news, err := quarantine.Unpack(here.Take(1, 2500).Pack())
+	news, err := quarantine.Unpack(here.TakePending(1, 2500).Pack())
 	if err != nil || len(news) != 1 {
 		t.Fatalf("got %+v, %v, want one request", news, err)
 	}
-	there.Learn(news[0], func(uint32) bool { return true }, 2500)
+	there.Merge(news[0], func(uint32) bool { return true }, 2500)
 	if got := there.Strikes(marked); got != 2 {
 		t.Fatalf("got %d strikes told, want 2", got)
 	}
-	if got := there.DarkLives(marked); len(got) != 1 || got[0] != 1 {
+	if got := there.UnresponsiveIncarnations(marked); len(got) != 1 || got[0] != 1 {
 		t.Errorf("got dark lives %v, want 1", got)
 	}
-	there.Alive(1, 3000, 3100)
-	there.Alive(2, 3000, 3100)
+	there.RecordAlive(1, 3000, 3100)
+	there.RecordAlive(2, 3000, 3100)
 	if got := there.Strikes(marked); got != 1 {
 		t.Errorf("got %d strikes once both engines were heard on new connections, want 1", got)
 	}
--- a/engines/quarantine/digest.go
+++ b/engines/quarantine/digest.go
@@ -18,8 +18,8 @@
 // String returns the digest in hex, for logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Asked is what makes two attempts the same request.
-type Asked struct {
+// RequestKey is what makes two attempts the same request.
+type RequestKey struct {
 	// Workspace is on whose behalf the request runs, "" if no key is needed.
 	Workspace string
 	Host      string
@@ -36,7 +36,7 @@
 
 // NewHasher begins the digest of a request. Each part goes in with its length, so that
 // none can pass for the beginning or the end of another.
-func NewHasher(a Asked) *Hasher {
+func NewHasher(a RequestKey) *Hasher {
 	h := &Hasher{sum: sha256.New()}
 	for _, part := range []string{a.Workspace, a.Host, a.Method, a.URI} {
 		var n [8]byte
@@ -56,7 +56,7 @@
 func (h *Hasher) Digest() Digest { return Digest(h.sum.Sum(nil)[:len(Digest{})]) }
 
 // DigestOf returns the digest of a request whose body is at hand.
-func DigestOf(a Asked, body []byte) Digest {
+func DigestOf(a RequestKey, body []byte) Digest {
 	h := NewHasher(a)
 	_, _ = h.Write(body)
 	return h.Digest()
--- a/engines/quarantine/digest_test.go
+++ b/engines/quarantine/digest_test.go
@@ -7,25 +7,25 @@
 	"github.com/weldfall/weldfall/engines/quarantine"
 )
 
-var usual = quarantine.Asked{Workspace: "ws-1", Host: "desk.example", Method: "POST", URI: "/chat/a?b=c"}
+var usual = quarantine.RequestKey{Workspace: "ws-1", Host: "desk.example", Method: "POST", URI: "/chat/a?b=c"}
 
 func TestADigestNamesWhatWasAsked(t *testing.T) {
 	body := []byte("the body")
 	want := quarantine.DigestOf(usual, body)
 	for name, tc := range map[string]struct {
-		asked func(*quarantine.Asked)
+		asked func(*quarantine.RequestKey)
 		body  []byte
 	}{
-		"another workspace":            {func(a *quarantine.Asked) { a.Workspace = "ws-2" }, body},
-		"no workspace":                 {func(a *quarantine.Asked) { a.Workspace = "" }, body},
-		"another host":                 {func(a *quarantine.Asked) { a.Host = "other.example" }, body},
-		"another method":               {func(a *quarantine.Asked) { a.Method = "PUT" }, body},
-		"another path":                 {func(a *quarantine.Asked) { a.URI = "/chat/b?b=c" }, body},
-		"another query":                {func(a *quarantine.Asked) { a.URI = "/chat/a?b=d" }, body},
-		"a longer body":                {func(*quarantine.Asked) {}, []byte("the body and more")},
-		"a shorter body":               {func(*quarantine.Asked) {}, []byte("the bod")},
-		"the path's end in the body":   {func(a *quarantine.Asked) { a.URI = "/chat/a?b=" }, []byte("cthe body")},
-		"the path's end in the method": {func(a *quarantine.Asked) { a.Method, a.URI = "POST/", "chat/a?b=c" }, body},
+		"another workspace":            {func(a *quarantine.RequestKey) { a.Workspace = "ws-2" }, body},
+		"no workspace":                 {func(a *quarantine.RequestKey) { a.Workspace = "" }, body},
+		"another host":                 {func(a *quarantine.RequestKey) { a.Host = "other.example" }, body},
+		"another method":               {func(a *quarantine.RequestKey) { a.Method = "PUT" }, body},
+		"another path":                 {func(a *quarantine.RequestKey) { a.URI = "/chat/b?b=c" }, body},
+		"another query":                {func(a *quarantine.RequestKey) { a.URI = "/chat/a?b=d" }, body},
+		"a longer body":                {func(*quarantine.RequestKey) {}, []byte("the body and more")},
+		"a shorter body":               {func(*quarantine.RequestKey) {}, []byte("the bod")},
+		"the path's end in the body":   {func(a *quarantine.RequestKey) { a.URI = "/chat/a?b=" }, []byte("cthe body")},
+		"the path's end in the method": {func(a *quarantine.RequestKey) { a.Method, a.URI = "POST/", "chat/a?b=c" }, body},
 	} {
 		a := usual
 		tc.asked(&a)
--- a/engines/quarantine/fleet_test.go
+++ b/engines/quarantine/fleet_test.go
@@ -85,7 +85,7 @@
 		broken: map[quarantine.Digest]int{}, servedAt: map[quarantine.Digest]clock.Millis{},
 	}
 	for range entries {
-		e := &entry{list: quarantine.New(f.rng.Uint32)}
+		e := &entry{list: quarantine.NewList(f.rng.Uint32)}
 		f.entries = append(f.entries, e)
 		f.at(clock.Millis(f.rng.IntN(int(askEvery))), func() { f.askOn(e) })
 	}
@@ -152,13 +152,13 @@
 
 // tell sends the news of an entry to some others.
 func (f *fleet) tell(e *entry) {
-	if e.waking || !e.list.Waiting() {
+	if e.waking || !e.list.HasPending() {
 		return
 	}
 	e.waking = true
 	f.at(1, func() {
 		e.waking = false
-		text := e.list.Take(quarantine.NewsMost, f.now).Pack()
+		text := e.list.TakePending(quarantine.MaxReports, f.now).Pack()
 		for _, i := range f.rng.Perm(len(f.entries))[:min(fleetFan+1, len(f.entries))] {
 			f.send(e, f.entries[i], text)
 		}
@@ -177,7 +177,7 @@
 			return
 		}
 		for _, it := range news {
-			to.list.Learn(it, notLost, f.now)
+			to.list.Merge(it, notLost, f.now)
 		}
 		f.tell(to)
 	})
@@ -185,7 +185,7 @@
 
 // restart makes an entry forget everything. It asks another at once.
 func (f *fleet) restart(e *entry) {
-	*e = entry{list: quarantine.New(f.rng.Uint32), since: f.now}
+	*e = entry{list: quarantine.NewList(f.rng.Uint32), since: f.now}
 	f.ask(e)
 }
 
@@ -198,7 +198,7 @@
 // ask is a question to another entry by chance, and its answer.
 func (f *fleet) ask(e *entry) {
 	o := f.entries[f.rng.IntN(len(f.entries))]
-	if o.list.Sum(f.now) == e.list.Sum(f.now) {
+	if o.list.Checksum(f.now) == e.list.Checksum(f.now) {
 		return
 	}
 	f.send(e, o, e.list.Sample(4, f.now).Pack())
@@ -229,8 +229,8 @@
 		f.refused[d]++
 	case quarantine.Trial:
 		f.tell(e)
-		f.at(quarantine.Settle, func() { f.try(r) })
-	case quarantine.Free:
+		f.at(quarantine.ClaimSettleTime, func() { f.try(r) })
+	case quarantine.Allowed:
 		f.start(r, up[f.rng.IntN(len(up))])
 	}
 }
@@ -238,9 +238,9 @@
 // try starts a trial, unless another entry claimed it as well.
 func (f *fleet) try(r *run) {
 	up := f.up()
-	if len(up) == 0 || !r.at.list.Claimed(r.digest, f.now) {
+	if len(up) == 0 || !r.at.list.OwnsTrial(r.digest, f.now) {
 		f.refused[r.digest]++
-		r.at.list.Over(r.digest, f.now)
+		r.at.list.EndTrial(r.digest, f.now)
 		f.tell(r.at)
 		return
 	}
@@ -250,7 +250,7 @@
 			on = o
 		}
 	}
-	r.at.list.Placed(r.digest, on.life, f.now)
+	r.at.list.StartTrial(r.digest, on.life, f.now)
 	f.tell(r.at)
 	r.trial = true
 	f.start(r, on)
@@ -280,7 +280,7 @@
 	if f.served[r.digest] == 1 {
 		f.servedAt[r.digest] = f.now
 	}
-	r.at.list.Well(r.digest, f.now)
+	r.at.list.RecordSuccess(r.digest, f.now)
 	f.tell(r.at)
 }
 
@@ -297,7 +297,7 @@
 	life := e.life
 	f.at(listLag, func() {
 		for _, o := range f.entries {
-			o.list.Confirm(life)
+			o.list.ConfirmCrash(life)
 		}
 	})
 	f.lives++
@@ -305,7 +305,7 @@
 	for _, r := range running {
 		f.broken[r.digest]++
 		f.at(f.hop(), func() {
-			r.at.list.Ended(quarantine.Attempt{Digest: r.digest, Shape: 1, Life: r.life, Trial: r.trial}, f.now)
+			r.at.list.RecordCrash(quarantine.Attempt{Digest: r.digest, Fingerprint: 1, Incarnation: r.life, Trial: r.trial}, f.now)
 			f.tell(r.at)
 		})
 		if r.again > 0 {
--- a/engines/quarantine/gossip/gossip.go
+++ b/engines/quarantine/gossip/gossip.go
@@ -25,10 +25,10 @@
 	newsBurst = 8 << 10
 	// newsHead is what a message of news has beside the suspects, in bytes.
 	newsHead = 64
-	// Asked and Told are how many suspects a question and an answer tell where both ends
+	// MaxRequestSuspects and Told are how many suspects a question and an answer tell where both ends
 	// do not know the same.
-	Asked = 4
-	Told  = 16
+	MaxRequestSuspects  = 4
+	MaxResponseSuspects = 16
 	// compareLimit bounds a question.
 	compareLimit clock.Millis = 1000
 )
@@ -43,31 +43,31 @@
 
 // Source is what an entry knows of suspects.
 type Source interface {
-	// News is sent to when there is word of suspects that others should have at once.
-	News() <-chan struct{}
-	// TakeNews returns that word, "" if there is none.
-	TakeNews() string
-	// HearSuspects takes what another entry of that id tells, as it came. It may be a
+	// SuspectsPending is sent to when there is word of suspects that others should have at once.
+	SuspectsPending() <-chan struct{}
+	// TakeSuspects returns that word, "" if there is none.
+	TakeSuspects() string
+	// ReceiveSuspects takes what another entry of that id tells, as it came. It may be a
 	// lie.
-	HearSuspects(from, packed string)
+	ReceiveSuspects(from, packed string)
 }
 
-// Teller is a Source that can tell what stands for all that it knows.
-type Teller interface {
+// Summarizer is a Source that can tell what stands for all that it knows.
+type Summarizer interface {
 	Source
-	// Tell returns that, and at most n suspects.
-	Tell(n int) (sum uint64, packed string)
+	// Summarize returns that, and at most n suspects.
+	Summarize(n int) (sum uint64, packed string)
 }
 
 // Config sets up a Gossip.
 type Config struct {
-	// From is the id of this entry.
-	From   string
+	// ID is the id of this entry.
+	ID     string
 	Source Source
 	Links  *link.Pool
-	// Others returns the addresses of at most n other entries by chance.
-	Others func(n int) []string
-	Log    *slog.Logger
+	// RandomPeers returns the addresses of at most n other entries by chance.
+	RandomPeers func(n int) []string
+	Log         *slog.Logger
 }
 
 // Gossip tells others what an entry hears of suspects.
@@ -76,8 +76,8 @@
 // New returns a Gossip that does not run yet.
 func New(cfg Config) *Gossip { return &Gossip{cfg: cfg} }
 
-// News is word of suspects that did not wait for a question.
-type News struct {
+// Update is word of suspects that did not wait for a question.
+type Update struct {
 	From     string `json:"f"`
 	Suspects string `json:"q"`
 }
@@ -97,10 +97,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.cfg.Source.News():
+		case <-g.cfg.Source.SuspectsPending():
 		}
-		for text := g.cfg.Source.TakeNews(); text != ""; text = g.cfg.Source.TakeNews() {
-			for _, addr := range g.cfg.Others(fanOut) {
+		for text := g.cfg.Source.TakeSuspects(); text != ""; text = g.cfg.Source.TakeSuspects() {
+			for _, addr := range g.cfg.RandomPeers(fanOut) {
 				// The only error is that of ctx, and then nobody is told.
 				if talk.WaitN(ctx, min(newsBurst, len(text)+newsHead)) != nil {
 					return
@@ -116,58 +116,58 @@
 func (g *Gossip) tell(addr, text string) {
 	c, err := g.cfg.Links.Get(addr, link.Control)
 	if err == nil {
-		err = c.Notify(MethodTell, News{From: g.cfg.From, Suspects: text})
+		err = c.Notify(MethodTell, Update{From: g.cfg.ID, Suspects: text})
 	}
 	if err != nil {
 		g.cfg.Log.Debug("news_not_told", "peer", addr, "error", err)
 	}
 }
 
-// Told takes a notification of MethodTell.
-func (g *Gossip) Told(params json.RawMessage) {
-	n, err := wire.Decode[News](MethodTell, params)
+// HandleUpdate takes a notification of MethodTell.
+func (g *Gossip) HandleUpdate(params json.RawMessage) {
+	n, err := wire.Decode[Update](MethodTell, params)
 	if err != nil {
 		g.cfg.Log.Debug("news_not_read", "error", err)
 		return
 	}
-	g.cfg.Source.HearSuspects(n.From, n.Suspects)
+	g.cfg.Source.ReceiveSuspects(n.From, n.Suspects)
 }
 
 // Compare asks another entry by chance what it knows, every period until ctx is done.
 // Processes that talk of suspects with other questions do without.
-func (g *Gossip) Compare(ctx context.Context, s Teller, period clock.Millis) {
+func (g *Gossip) Compare(ctx context.Context, s Summarizer, period clock.Millis) {
 	clock.Every(ctx, period, func() {
-		for _, addr := range g.cfg.Others(1) {
+		for _, addr := range g.cfg.RandomPeers(1) {
 			g.compare(ctx, s, addr)
 		}
 	})
 }
 
-func (g *Gossip) compare(ctx context.Context, s Teller, addr string) {
+func (g *Gossip) compare(ctx context.Context, s Summarizer, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, compareLimit.Duration())
 	defer cancel()
 	c, err := g.cfg.Links.Get(addr, link.Control)
 	if err != nil {
 		return
 	}
-	sum, packed := s.Tell(Asked)
+	sum, packed := s.Summarize(MaxRequestSuspects)
 	var a Summary
-	if err := c.Call(ctx, MethodCompare, Summary{From: g.cfg.From, Sum: sum, Suspects: packed}, &a); err != nil {
+	if err := c.Call(ctx, MethodCompare, Summary{From: g.cfg.ID, Sum: sum, Suspects: packed}, &a); err != nil {
 		g.cfg.Log.Debug("compare_failed", "peer", addr, "error", err)
 		return
 	}
-	s.HearSuspects(a.From, a.Suspects)
+	s.ReceiveSuspects(a.From, a.Suspects)
 }
 
-// Answer answers a call of MethodCompare.
-func (g *Gossip) Answer(s Teller, params json.RawMessage) (Summary, error) {
+// HandleCompare answers a call of MethodCompare.
+func (g *Gossip) HandleCompare(s Summarizer, params json.RawMessage) (Summary, error) {
 	q, err := wire.Decode[Summary](MethodCompare, params)
 	if err != nil {
 		return Summary{}, err
 	}
-	s.HearSuspects(q.From, q.Suspects)
-	a := Summary{From: g.cfg.From}
-	if a.Sum, a.Suspects = s.Tell(Told); a.Sum == q.Sum {
+	s.ReceiveSuspects(q.From, q.Suspects)
+	a := Summary{From: g.cfg.ID}
+	if a.Sum, a.Suspects = s.Summarize(MaxResponseSuspects); a.Sum == q.Sum {
 		a.Suspects = ""
 	}
 	return a, nil
--- a/engines/quarantine/list.go
+++ b/engines/quarantine/list.go
@@ -26,8 +26,8 @@
 // once, 6 of 64, 19 of 200. None of them is held back for good: that takes an engine which
 // ends by itself within the time of one run, twice.
 const (
-	// SuspectFrom is how many strikes make a request a suspect.
-	SuspectFrom = 2
+	// SuspectStrikes is how many strikes make a request a suspect.
+	SuspectStrikes = 2
 	// failedAlone and failedMost are how many failed trials hold a request back: those in
 	// which only its engine ended, and any.
 	failedAlone = 2
@@ -43,20 +43,20 @@
 	// toldPause bounds the pause where this entry itself found none of the engines that
 	// ended to be away: a peer that lies holds back what it names for no longer.
 	toldPause clock.Millis = 300_000
-	// KeepFor is how long a request is remembered after it last came or struck.
-	KeepFor clock.Millis = 3_600_000
+	// Retention is how long a request is remembered after it last came or struck.
+	Retention clock.Millis = 3_600_000
 	// suspectFor is that time for requests with one strike at most.
 	suspectFor clock.Millis = 600_000
-	// TrialLimit bounds a trial; a longer run shows nothing more.
-	TrialLimit clock.Millis = 5000
-	// Settle is how long it takes until all entries have heard of a claim: some five
+	// TrialTimeout bounds a trial; a longer run shows nothing more.
+	TrialTimeout clock.Millis = 5000
+	// ClaimSettleTime is how long it takes until all entries have heard of a claim: some five
 	// steps of a few milliseconds among hundreds.
-	Settle clock.Millis = 100
+	ClaimSettleTime clock.Millis = 100
 	// claimLimit bounds a claim that never becomes a trial, since its entry is gone.
 	claimLimit clock.Millis = 2000
-	// TrialBack is when a request may come back of which a trial is under way: most
+	// TrialRetryAfter is when a request may come back of which a trial is under way: most
 	// runs are over by then.
-	TrialBack clock.Millis = 250
+	TrialRetryAfter clock.Millis = 250
 
 	// aloneBack is when a request may come back that this entry does not send while it
 	// hears no others: callers come back to another.
@@ -74,8 +74,8 @@
 type Admission interface{ admission() }
 
 type (
-	// Free requests go where they usually do.
-	Free struct{}
+	// Allowed requests go where they usually do.
+	Allowed struct{}
 	// Trial requests go to an engine with few others, and nobody else sends the same
 	// meanwhile. They wait for Settle first, since another entry may have claimed it as
 	// well; then Claimed says whether they may go, and Placed or Over must follow.
@@ -83,18 +83,18 @@
 	// Held requests are not sent.
 	Held struct {
 		Strikes int
-		// Since is how long ago the latest engine ended under it.
-		Since clock.Millis
-		// Back is when it may come back.
-		Back clock.Millis
-		// Tried is true if a trial is under way.
-		Tried bool
+		// SinceCrash is how long ago the latest engine ended under it.
+		SinceCrash clock.Millis
+		// RetryAfter is when it may come back.
+		RetryAfter clock.Millis
+		// TrialRunning is true if a trial is under way.
+		TrialRunning bool
 	}
 )
 
-func (Free) admission()  {}
-func (Trial) admission() {}
-func (Held) admission()  {}
+func (Allowed) admission() {}
+func (Trial) admission()   {}
+func (Held) admission()    {}
 
 // List has what one entry knows of the requests under which engines ended. It is pure:
 // the time is handed in, and callers lock.
@@ -120,8 +120,8 @@
 	amnesiaUntil clock.Millis
 }
 
-// New returns an empty list. ids draws the numbers that tell what entries saw apart.
-func New(ids func() uint32) *List {
+// NewList returns an empty list. ids draws the numbers that tell what entries saw apart.
+func NewList(ids func() uint32) *List {
 	l := &List{ids: ids, shapes: map[uint32]int{}, byLife: map[uint32][]*record{}, breaks: newBreaks()}
 	dropped := func(_ Digest, r *record) { l.leave(r) }
 	// NewLRU fails only for sizes that are not positive.
@@ -131,9 +131,9 @@
 	return l
 }
 
-// Shape tells most requests apart at a glance, so that the body of one is only digested
+// Fingerprint tells most requests apart at a glance, so that the body of one is only digested
 // if one of its shape is remembered.
-func Shape(a Asked, bodyLength int) uint32 {
+func Fingerprint(a RequestKey, bodyLength int) uint32 {
 	h := xxh3.HashString(a.URI)
 	for _, part := range []string{a.Workspace, a.Host, a.Method} {
 		h = xxh3.HashStringSeed(part, h)
@@ -141,18 +141,20 @@
 	return uint32(h ^ uint64(bodyLength)*0x9e3779b97f4a7c15)
 }
 
-// Knows reports whether a request of a shape is remembered.
-func (l *List) Knows(shape uint32) bool { return l.shapes[shape] > 0 || l.breaks.shapes[shape] > 0 }
+// MayContain reports whether a request of a shape is remembered.
+func (l *List) MayContain(shape uint32) bool {
+	return l.shapes[shape] > 0 || l.breaks.shapes[shape] > 0
+}
 
-// SetAmnesia says until when requests may have ended engines of which no entry knows, since
+// SetHistoryLostUntil says until when requests may have ended engines of which no entry knows, since
 // all entries have started lately. One end of an engine then makes a suspect, unless others
 // ended with it, and one trial that failed alone holds a request back for some minutes.
-func (l *List) SetAmnesia(until clock.Millis) { l.amnesiaUntil = until }
+func (l *List) SetHistoryLostUntil(until clock.Millis) { l.amnesiaUntil = until }
 
 // isSuspect reports whether a request is only sent alone.
 func (l *List) isSuspect(r *record, now clock.Millis) bool {
 	s := r.strikes()
-	return s >= SuspectFrom || (s > 0 && now < l.amnesiaUntil && !r.ends[0].dark && l.others(r.ends[0]) <= fewOthers)
+	return s >= SuspectStrikes || (s > 0 && now < l.amnesiaUntil && !r.ends[0].dark && l.others(r.ends[0]) <= fewOthers)
 }
 
 // Admit says what may be done with a request, and claims the trial if there is to be
@@ -161,24 +163,24 @@
 func (l *List) Admit(d Digest, alone bool, now clock.Millis) Admission {
 	r := l.get(d)
 	if r == nil || r.strikes() == 0 {
-		return Free{}
+		return Allowed{}
 	}
 	l.use(r, now)
 	s := r.strikes()
-	held := Held{Strikes: s, Since: now - r.lastEnd(), Back: TrialBack}
+	held := Held{Strikes: s, SinceCrash: now - r.lastEnd(), RetryAfter: TrialRetryAfter}
 	if alone {
-		held.Back = aloneBack
+		held.RetryAfter = aloneBack
 		return held
 	}
 	if !l.isSuspect(r, now) {
-		return Free{}
+		return Allowed{}
 	}
 	if r.trial.underWay(now) {
-		held.Tried = true
+		held.TrialRunning = true
 		return held
 	}
 	if left := l.restOf(r, now); left > 0 {
-		held.Back = left
+		held.RetryAfter = left
 		return held
 	}
 	r.trial = trial{id: l.newID(), until: now + claimLimit, own: true}
@@ -186,15 +188,15 @@
 	return Trial{Strikes: s}
 }
 
-// Claimed reports whether this entry may run the trial of a request that it claimed.
-func (l *List) Claimed(d Digest, now clock.Millis) bool {
+// OwnsTrial reports whether this entry may run the trial of a request that it claimed.
+func (l *List) OwnsTrial(d Digest, now clock.Millis) bool {
 	r := l.get(d)
 	return r != nil && r.trial.own && r.trial.underWay(now)
 }
 
-// Rest returns how long a request that may be on trial is not to be sent, as is known now: what
+// RemainingPause returns how long a request that may be on trial is not to be sent, as is known now: what
 // came since the trial was claimed counts.
-func (l *List) Rest(d Digest, now clock.Millis) clock.Millis {
+func (l *List) RemainingPause(d Digest, now clock.Millis) clock.Millis {
 	if r := l.get(d); r != nil && r.strikes() > 0 {
 		return l.restOf(r, now)
 	}
@@ -203,7 +205,7 @@
 
 // restOf is the rest of the pause after the latest end, zero or less if it is over.
 func (l *List) restOf(r *record, now clock.Millis) clock.Millis {
-	return min(r.lastEnd()+l.pause(r, now)-now, KeepFor)
+	return min(r.lastEnd()+l.pause(r, now)-now, Retention)
 }
 
 // pause is how long after the latest end a suspect is not sent.
@@ -212,7 +214,7 @@
 	switch {
 	case proved(l.failures(r, func(e end) bool { return e.confirmed })):
 		// It is remembered for as long as it comes.
-		return 2 * KeepFor
+		return 2 * Retention
 	case proved(alone, all):
 		return toldPause
 	case now < l.amnesiaUntil && l.failedOnceAlone(r):
@@ -276,18 +278,18 @@
 	l.recent = l.recent[max(0, len(l.recent)-recentMost):]
 }
 
-// Placed records the engine of a trial that this entry claimed.
-func (l *List) Placed(d Digest, life uint32, now clock.Millis) {
-	if l.Claimed(d, now) {
+// StartTrial records the engine of a trial that this entry claimed.
+func (l *List) StartTrial(d Digest, life uint32, now clock.Millis) {
+	if l.OwnsTrial(d, now) {
 		t := &l.get(d).trial
-		t.life, t.until = life, now+TrialLimit
+		t.life, t.until = life, now+TrialTimeout
 		l.news.add(d, true)
 	}
 }
 
-// Over records that a trial of this entry, if there is one, ended without a result.
-func (l *List) Over(d Digest, now clock.Millis) {
-	if l.Claimed(d, now) {
+// EndTrial records that a trial of this entry, if there is one, ended without a result.
+func (l *List) EndTrial(d Digest, now clock.Millis) {
+	if l.OwnsTrial(d, now) {
 		l.get(d).trial.until = now
 		l.news.add(d, true)
 	}
@@ -296,42 +298,42 @@
 // Attempt is a request at an engine.
 type Attempt struct {
 	// ID is the caller's, for logs.
-	ID     string
-	Digest Digest
-	Shape  uint32
-	// Life is the mark of the life of the engine.
-	Life uint32
+	ID          string
+	Digest      Digest
+	Fingerprint uint32
+	// Incarnation is the mark of the life of the engine.
+	Incarnation uint32
 	// Trial is true if it was a trial.
 	Trial bool
 	// Silent is true if the engine gave no sign, rather than break the connection.
 	Silent bool
 }
 
-// Ended records that an engine ended while it had a request, and returns the strikes
+// RecordCrash records that an engine ended while it had a request, and returns the strikes
 // that the request has now.
-func (l *List) Ended(a Attempt, now clock.Millis) int { return l.ended(a, now, now) }
+func (l *List) RecordCrash(a Attempt, now clock.Millis) int { return l.ended(a, now, now) }
 
 // ended is Ended of an end that was at a time that has passed.
 func (l *List) ended(a Attempt, at, now clock.Millis) int {
-	l.Confirm(a.Life)
+	l.ConfirmCrash(a.Incarnation)
 	return l.strike(a, end{at: at, confirmed: true}, now)
 }
 
-// Dark records that an engine went dark under a request that was sent to it at a time, and
+// RecordUnresponsive records that an engine went dark under a request that was sent to it at a time, and
 // returns the strikes that the request has now. The strike holds until the engine is heard,
 // and what is held back by such alone is for some minutes.
-func (l *List) Dark(a Attempt, sent, now clock.Millis) int {
+func (l *List) RecordUnresponsive(a Attempt, sent, now clock.Millis) int {
 	return l.strike(a, end{at: sent, dark: true}, now)
 }
 
 func (l *List) strike(a Attempt, e end, now clock.Millis) int {
 	r := l.get(a.Digest)
 	if r == nil {
-		r = &record{digest: a.Digest, shape: a.Shape}
+		r = &record{digest: a.Digest, shape: a.Fingerprint}
 	}
-	l.Over(a.Digest, now)
-	l.noteEnd(a.Life, e.at)
-	e.id, e.life, e.trial = l.newID(), a.Life, a.Trial
+	l.EndTrial(a.Digest, now)
+	l.noteEnd(a.Incarnation, e.at)
+	e.id, e.life, e.trial = l.newID(), a.Incarnation, a.Trial
 	news := r.add(e)
 	r.usedAt = now
 	l.put(r)
@@ -341,37 +343,37 @@
 	return r.strikes()
 }
 
-// Broke remembers an attempt that broke off at an engine that may have ended or not. A
+// RecordBrokenAttempt remembers an attempt that broke off at an engine that may have ended or not. A
 // trial goes on until that shows, or it is over: the same request is not sent meanwhile.
-func (l *List) Broke(a Attempt, now clock.Millis) { l.breaks.add(a, now) }
+func (l *List) RecordBrokenAttempt(a Attempt, now clock.Millis) { l.breaks.add(a, now) }
 
 // Strike is an attempt whose engine ended, as was found out later.
 type Strike struct {
 	Attempt
 	// Strikes is how many the request has now, and Late how long ago it broke off.
 	Strikes int
-	Late    clock.Millis
+	Delay   clock.Millis
 }
 
-// LifeEnded records that a life of an engine ended, and returns the attempts that broke
+// RecordIncarnationEnd records that a life of an engine ended, and returns the attempts that broke
 // off with it: each is struck as of when it did.
-func (l *List) LifeEnded(life uint32, now clock.Millis) []Strike {
+func (l *List) RecordIncarnationEnd(life uint32, now clock.Millis) []Strike {
 	var out []Strike
 	for _, o := range l.breaks.take(life, now) {
-		out = append(out, Strike{Attempt: o.Attempt, Strikes: l.ended(o.Attempt, o.at, now), Late: now - o.at})
+		out = append(out, Strike{Attempt: o.Attempt, Strikes: l.ended(o.Attempt, o.at, now), Delay: now - o.at})
 	}
 	return out
 }
 
-// Well records that a request ran well, and reports whether it had strikes.
-func (l *List) Well(d Digest, now clock.Millis) bool {
-	l.Over(d, now)
+// RecordSuccess records that a request ran well, and reports whether it had strikes.
+func (l *List) RecordSuccess(d Digest, now clock.Millis) bool {
+	l.EndTrial(d, now)
 	l.breaks.drop(func(o broken) bool { return o.Digest == d })
 	r := l.get(d)
 	if r == nil || r.strikes() == 0 {
 		return false
 	}
-	suspect := r.strikes() >= SuspectFrom
+	suspect := r.strikes() >= SuspectStrikes
 	r.ranWell(well{id: l.newID(), at: now})
 	l.use(r, now)
 	l.put(r)
@@ -381,10 +383,10 @@
 	return true
 }
 
-// Alive records that an engine was heard on a connection that came up at a time, which
+// RecordAlive records that an engine was heard on a connection that came up at a time, which
 // takes back that it ended since. Hearing it on a newer one says nothing: it may have
 // started again under its id, and the list be late.
-func (l *List) Alive(life uint32, since, now clock.Millis) {
+func (l *List) RecordAlive(life uint32, since, now clock.Millis) {
 	for _, r := range l.underLife(life) {
 		if r.alive(life, since, now) {
 			l.put(r)
@@ -392,21 +394,21 @@
 	}
 	for _, o := range l.breaks.alive(life, since, now) {
 		if o.Trial {
-			l.Over(o.Digest, now)
+			l.EndTrial(o.Digest, now)
 		}
 	}
 }
 
-// Confirm records that this entry found out by itself that an engine ended.
-func (l *List) Confirm(life uint32) {
+// ConfirmCrash records that this entry found out by itself that an engine ended.
+func (l *List) ConfirmCrash(life uint32) {
 	for _, r := range l.underLife(life) {
 		r.confirm(life)
 		l.put(r)
 	}
 }
 
-// DarkLives returns the lives of engines that went dark under a request.
-func (l *List) DarkLives(d Digest) []uint32 {
+// UnresponsiveIncarnations returns the lives of engines that went dark under a request.
+func (l *List) UnresponsiveIncarnations(d Digest) []uint32 {
 	r := l.get(d)
 	if r == nil {
 		return nil
@@ -436,7 +438,7 @@
 func (l *List) Counts() (suspects, struck int) {
 	for _, r := range l.all() {
 		switch s := r.strikes(); {
-		case s >= SuspectFrom:
+		case s >= SuspectStrikes:
 			suspects++
 		case s > 0:
 			struck++
@@ -456,8 +458,8 @@
 	l.sweptAt = now
 	l.breaks.expire(now)
 	for _, r := range l.all() {
-		keep := KeepFor
-		if r.strikes() < SuspectFrom {
+		keep := Retention
+		if r.strikes() < SuspectStrikes {
 			keep = suspectFor
 		}
 		if now-r.usedAt > keep {
@@ -493,7 +495,7 @@
 // listOf is where a record belongs.
 func (l *List) listOf(r *record) *simplelru.LRU[Digest, *record] {
 	switch {
-	case r.strikes() < SuspectFrom:
+	case r.strikes() < SuspectStrikes:
 		return l.suspects
 	case !r.isConfirmed():
 		return l.told
--- a/engines/quarantine/list_test.go
+++ b/engines/quarantine/list_test.go
@@ -12,11 +12,11 @@
 	"github.com/weldfall/weldfall/engines/quarantine"
 )
 
-func newList() *quarantine.List { return quarantine.New(rand.New(rand.NewPCG(1, 2)).Uint32) }
+func newList() *quarantine.List { return quarantine.NewList(rand.New(rand.NewPCG(1, 2)).Uint32) }
 
 // ended records that a life of an engine ended under a request.
 func ended(l *quarantine.List, d quarantine.Digest, life uint32, now clock.Millis) {
-	l.Ended(quarantine.Attempt{Digest: d, Shape: uint32(d[0]), Life: life}, now)
+	l.RecordCrash(quarantine.Attempt{Digest: d, Fingerprint: uint32(d[0]), Incarnation: life}, now)
 }
 
 // fail has a suspect fail a trial.
@@ -24,26 +24,26 @@
 	t.Helper()
 	if a, ok := l.Admit(d, false, now).(quarantine.Trial); !ok {
 		t.Fatalf("got %T at %d, want a trial", l.Admit(d, false, now), now)
-	} else if a.Strikes < quarantine.SuspectFrom {
-		t.Errorf("got a trial after %d strikes, want %d", a.Strikes, quarantine.SuspectFrom)
+	} else if a.Strikes < quarantine.SuspectStrikes {
+		t.Errorf("got a trial after %d strikes, want %d", a.Strikes, quarantine.SuspectStrikes)
 	}
-	l.Placed(d, life, now)
-	l.Ended(quarantine.Attempt{Digest: d, Life: life, Trial: true}, now+60)
+	l.StartTrial(d, life, now)
+	l.RecordCrash(quarantine.Attempt{Digest: d, Incarnation: life, Trial: true}, now+60)
 }
 
 func TestTwoStrikesMakeASuspectAndTwoFailedTrialsHoldItBack(t *testing.T) {
 	l := newList()
-	if _, ok := l.Admit(marked, false, 0).(quarantine.Free); !ok {
+	if _, ok := l.Admit(marked, false, 0).(quarantine.Allowed); !ok {
 		t.Errorf("got %T for a request that is not known, want it free", l.Admit(marked, false, 0))
 	}
 	ended(l, marked, 1, 1000)
-	if _, ok := l.Admit(marked, false, 1001).(quarantine.Free); !ok {
+	if _, ok := l.Admit(marked, false, 1001).(quarantine.Allowed); !ok {
 		t.Errorf("got %T after one strike, want it free", l.Admit(marked, false, 1001))
 	}
 	ended(l, marked, 2, 2000)
 	fail(t, l, marked, 3, 2001)
 	held, ok := l.Admit(marked, false, 2100).(quarantine.Held)
-	if !ok || held.Back != 961 {
+	if !ok || held.RetryAfter != 961 {
 		t.Errorf("got %+v after a failed trial, want it held for the rest of a second", held)
 	}
 	fail(t, l, marked, 4, 3100)
@@ -52,10 +52,10 @@
 			t.Errorf("got %T at %d after two failed trials, want it held", l.Admit(marked, false, now), now)
 		}
 	}
-	if !l.Well(marked, 3_000_001) {
+	if !l.RecordSuccess(marked, 3_000_001) {
 		t.Error("got no change by a run that ended well, want all strikes gone")
 	}
-	if _, ok := l.Admit(marked, false, 3_000_002).(quarantine.Free); !ok {
+	if _, ok := l.Admit(marked, false, 3_000_002).(quarantine.Allowed); !ok {
 		t.Errorf("got %T after it ran well, want it free", l.Admit(marked, false, 3_000_002))
 	}
 }
@@ -72,7 +72,7 @@
 		ended(l, marked, uint32(10+n), 10_000+clock.Millis(1000*n))
 	}
 	for _, now := range []clock.Millis{40_000, 3_000_000} {
-		if a, ok := l.Admit(marked, false, now).(quarantine.Held); !ok || a.Back < 60_000 {
+		if a, ok := l.Admit(marked, false, now).(quarantine.Held); !ok || a.RetryAfter < 60_000 {
 			t.Errorf("got %T %+v at %d after 20 other ends, want it held", a, a, now)
 		}
 	}
@@ -91,11 +91,11 @@
 	if _, ok := started.Admit(marked, false, 20_501).(quarantine.Trial); !ok {
 		t.Fatalf("got %T, want a trial", started.Admit(marked, false, 20_501))
 	}
-	if got := started.Rest(marked, 20_550); got > 0 {
+	if got := started.RemainingPause(marked, 20_550); got > 0 {
 		t.Errorf("got %d ms to wait before it is known, want none", got)
 	}
-	learn(t, started, knows.Take(10, 20_560), 20_560)
-	if got, least := started.Rest(marked, 20_600), clock.Millis(60_000); got < least {
+	learn(t, started, knows.TakePending(10, 20_560), 20_560)
+	if got, least := started.RemainingPause(marked, 20_600), clock.Millis(60_000); got < least {
 		t.Errorf("got %d ms to wait once it is known, want %d or more", got, least)
 	}
 }
@@ -109,10 +109,10 @@
 	if _, ok := l.Admit(marked, false, 2001).(quarantine.Trial); !ok {
 		t.Fatalf("got %T, want a trial", l.Admit(marked, false, 2001))
 	}
-	if held, ok := l.Admit(marked, false, 2002).(quarantine.Held); !ok || !held.Tried || held.Back > 500 {
+	if held, ok := l.Admit(marked, false, 2002).(quarantine.Held); !ok || !held.TrialRunning || held.RetryAfter > 500 {
 		t.Errorf("got %+v, want it held for a moment while a trial is under way", held)
 	}
-	l.Over(marked, 2100)
+	l.EndTrial(marked, 2100)
 	if _, ok := l.Admit(marked, false, 2101).(quarantine.Trial); !ok {
 		t.Errorf("got %T after a trial without a result, want another", l.Admit(marked, false, 2101))
 	}
@@ -121,31 +121,31 @@
 // Two entries claim the trial before they hear of each other: one of them runs it.
 func TestOfTwoClaimsOneCounts(t *testing.T) {
 	for seed := range uint64(20) {
-		a, b := quarantine.New(rand.New(rand.NewPCG(seed, 1)).Uint32), quarantine.New(rand.New(rand.NewPCG(seed, 2)).Uint32)
+		a, b := quarantine.NewList(rand.New(rand.NewPCG(seed, 1)).Uint32), quarantine.NewList(rand.New(rand.NewPCG(seed, 2)).Uint32)
 		for _, l := range []*quarantine.List{a, b} {
 			ended(l, marked, 1, 1000)
 			ended(l, marked, 2, 2000)
-			l.Take(10, 2000)
+			l.TakePending(10, 2000)
 			l.Admit(marked, false, 2001)
 		}
-		fromA, fromB := a.Take(10, 2002), b.Take(10, 2002)
+		fromA, fromB := a.TakePending(10, 2002), b.TakePending(10, 2002)
 		learn(t, a, fromB, 2005)
 		learn(t, b, fromA, 2005)
-		if got := a.Claimed(marked, 2101) != b.Claimed(marked, 2101); !got {
-			t.Errorf("seed %d: got claims %v and %v, want one", seed, a.Claimed(marked, 2101), b.Claimed(marked, 2101))
+		if got := a.OwnsTrial(marked, 2101) != b.OwnsTrial(marked, 2101); !got {
+			t.Errorf("seed %d: got claims %v and %v, want one", seed, a.OwnsTrial(marked, 2101), b.OwnsTrial(marked, 2101))
 		}
 	}
 }
 
 // learn passes news through their packed form.
-func learn(t *testing.T, l *quarantine.List, n quarantine.News, now clock.Millis) {
+func learn(t *testing.T, l *quarantine.List, n quarantine.Reports, now clock.Millis) {
 	t.Helper()
 	got, err := quarantine.Unpack(n.Pack())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, it := range got {
-		l.Learn(it, notLost, now)
+		l.Merge(it, notLost, now)
 	}
 }
 
@@ -153,11 +153,11 @@
 // it, and they may know more.
 func TestAnEntryThatHearsNobodyHoldsBackAtOnce(t *testing.T) {
 	l := newList()
-	if _, ok := l.Admit(marked, true, 0).(quarantine.Free); !ok {
+	if _, ok := l.Admit(marked, true, 0).(quarantine.Allowed); !ok {
 		t.Errorf("got %T for a request without a strike, want it free", l.Admit(marked, true, 0))
 	}
 	ended(l, marked, 1, 1000)
-	if held, ok := l.Admit(marked, true, 1001).(quarantine.Held); !ok || held.Back > 20 {
+	if held, ok := l.Admit(marked, true, 1001).(quarantine.Held); !ok || held.RetryAfter > 20 {
 		t.Errorf("got %+v, want it held and the caller sent to another entry at once", held)
 	}
 }
@@ -174,7 +174,7 @@
 	} {
 		l := newList()
 		ended(l, marked, 1, 1000)
-		l.Alive(1, tc.opened, tc.when)
+		l.RecordAlive(1, tc.opened, tc.when)
 		if got := l.Strikes(marked); got != tc.want {
 			t.Errorf("%s: got %d strikes, want %d", tc.name, got, tc.want)
 		}
@@ -199,14 +199,14 @@
 // Where an engine starts again within moments, each of its lives may end under a request
 // before the list tells of the first.
 func TestEndsOfOneMarkThatEntriesTellOf(t *testing.T) {
-	first, second := newList(), quarantine.New(rand.New(rand.NewPCG(3, 4)).Uint32)
+	first, second := newList(), quarantine.NewList(rand.New(rand.NewPCG(3, 4)).Uint32)
 	broke := func(l *quarantine.List, at clock.Millis) {
-		l.Ended(quarantine.Attempt{Digest: marked, Shape: 1, Life: 1}, at)
+		l.RecordCrash(quarantine.Attempt{Digest: marked, Fingerprint: 1, Incarnation: 1}, at)
 	}
 	broke(first, 1000)
 	broke(second, 1250)
-	learn(t, first, second.Take(9, 1250), 1251)
-	learn(t, second, first.Take(9, 1251), 1252)
+	learn(t, first, second.TakePending(9, 1250), 1251)
+	learn(t, second, first.TakePending(9, 1251), 1252)
 	for name, l := range map[string]*quarantine.List{"first": first, "second": second} {
 		if got := l.Strikes(marked); got != 2 {
 			t.Errorf("the %s entry: got %d strikes by the ends of two lives with one mark, want 2", name, got)
@@ -215,33 +215,33 @@
 }
 
 func TestWordOfARunThatEndedWellGoesBeforeOlderEnds(t *testing.T) {
-	a, b := newList(), quarantine.New(rand.New(rand.NewPCG(7, 7)).Uint32)
+	a, b := newList(), quarantine.NewList(rand.New(rand.NewPCG(7, 7)).Uint32)
 	ended(a, marked, 1, 1000)
 	ended(a, marked, 2, 2000)
-	learn(t, b, a.Take(10, 2000), 2005)
+	learn(t, b, a.TakePending(10, 2000), 2005)
 	if got := b.Strikes(marked); got != 2 {
 		t.Fatalf("got %d strikes by word of another, want 2", got)
 	}
-	b.Well(marked, 3000)
+	b.RecordSuccess(marked, 3000)
 	// What a tells again changes nothing, and makes b tell of the run.
 	learn(t, b, a.Sample(10, 3500), 3505)
 	if got := b.Strikes(marked); got != 0 {
 		t.Errorf("got %d strikes after it ran well, want 0", got)
 	}
-	learn(t, a, b.Take(10, 3510), 3515)
+	learn(t, a, b.TakePending(10, 3510), 3515)
 	if got := a.Strikes(marked); got != 0 {
 		t.Errorf("got %d strikes at the other entry, want 0", got)
 	}
-	if a.Sum(4000) != b.Sum(4000) {
-		t.Errorf("got sums %x and %x of entries that know the same, want one", a.Sum(4000), b.Sum(4000))
+	if a.Checksum(4000) != b.Checksum(4000) {
+		t.Errorf("got sums %x and %x of entries that know the same, want one", a.Checksum(4000), b.Checksum(4000))
 	}
 }
 
 // lie is word of a request under which engines failed trials that nobody saw.
-func lie(n uint64) quarantine.Item {
-	it := quarantine.Item{Digest: digestOf(n), Shape: uint32(n)}
+func lie(n uint64) quarantine.Report {
+	it := quarantine.Report{Digest: digestOf(n), Fingerprint: uint32(n)}
 	for i := range uint32(6) {
-		it.Ends = append(it.Ends, quarantine.EndedUnder{ID: 1 + rand.Uint32N(1<<30), Life: 1000 + i, Age: clock.Millis(i) * 500, Trial: true})
+		it.Crashes = append(it.Crashes, quarantine.ReportedCrash{ID: 1 + rand.Uint32N(1<<30), Incarnation: 1000 + i, Age: clock.Millis(i) * 500, Trial: true})
 	}
 	return it
 }
@@ -256,7 +256,7 @@
 	fail(t, l, marked, 3, 2001)
 	fail(t, l, marked, 4, 3100)
 	for n := range uint64(5000) {
-		l.Learn(lie(10_000+n), notLost, 4000)
+		l.Merge(lie(10_000+n), notLost, 4000)
 	}
 	heldBack := 0
 	for n := range uint64(5000) {
@@ -267,7 +267,7 @@
 	if heldBack > 256 {
 		t.Errorf("got %d requests held back by lies, want at most 256", heldBack)
 	}
-	if got, ok := l.Admit(digestOf(14_999), false, 4001).(quarantine.Held); !ok || got.Back > 5*minutes {
+	if got, ok := l.Admit(digestOf(14_999), false, 4001).(quarantine.Held); !ok || got.RetryAfter > 5*minutes {
 		t.Errorf("got %+v by a lie, want it held for at most five minutes", got)
 	}
 	if got, ok := l.Admit(digestOf(14_999), false, 4000+5*minutes).(quarantine.Trial); !ok {
@@ -278,7 +278,7 @@
 	}
 	// Engines that it names and that live are heard, which takes the lies back.
 	for life := range uint32(6) {
-		l.Alive(1000+life, 100, 9000)
+		l.RecordAlive(1000+life, 100, 9000)
 	}
 	if got := l.Strikes(digestOf(14_999)); got != 0 {
 		t.Errorf("got %d strikes by engines that were heard since, want 0", got)
@@ -301,10 +301,10 @@
 		t.Errorf("got %d requests with a strike, want at most 4096", struck)
 	}
 	told := 0
-	for l.Waiting() {
-		n := l.Take(quarantine.NewsMost, 60_000)
-		if len(n) > quarantine.NewsMost || len(n.Pack()) > 6000 {
-			t.Fatalf("got a message of %d requests and %d bytes, want at most %d and 6000", len(n), len(n.Pack()), quarantine.NewsMost)
+	for l.HasPending() {
+		n := l.TakePending(quarantine.MaxReports, 60_000)
+		if len(n) > quarantine.MaxReports || len(n.Pack()) > 6000 {
+			t.Fatalf("got a message of %d requests and %d bytes, want at most %d and 6000", len(n), len(n.Pack()), quarantine.MaxReports)
 		}
 		if told == 0 && (len(n) == 0 || n[0].Digest != marked) {
 			t.Errorf("got %+v first, want the suspect", n[0])
@@ -328,19 +328,19 @@
 	if got, want := l.Strikes(marked), 2; got != want {
 		t.Errorf("got %d strikes of a suspect after ten minutes, want %d", got, want)
 	}
-	l.Sweep(2000 + quarantine.KeepFor + 1)
+	l.Sweep(2000 + quarantine.Retention + 1)
 	if !l.Empty() {
 		t.Error("got something after an hour, want nothing")
 	}
 }
 
 func TestNewsThatMakeNoSenseAreRefused(t *testing.T) {
-	good := quarantine.News{{
-		Digest: marked, Shape: 3, Ends: []quarantine.EndedUnder{{ID: 9, Life: 1, Age: 70, Trial: true}, {ID: 8, Life: 1, Age: 5}},
-		Well: &quarantine.RanWell{ID: 5, Age: 10}, Trial: &quarantine.OnTrial{ID: 6, Life: 2, Left: 400},
+	good := quarantine.Reports{{
+		Digest: marked, Fingerprint: 3, Crashes: []quarantine.ReportedCrash{{ID: 9, Incarnation: 1, Age: 70, Trial: true}, {ID: 8, Incarnation: 1, Age: 5}},
+		Success: &quarantine.ReportedSuccess{ID: 5, Age: 10}, Trial: &quarantine.ReportedTrial{ID: 6, Incarnation: 2, Remaining: 400},
 	}}
 	got, err := quarantine.Unpack(good.Pack())
-	if err != nil || len(got) != 1 || !slices.Equal(got[0].Ends, good[0].Ends) || *got[0].Well != *good[0].Well || *got[0].Trial != *good[0].Trial || got[0].Digest != marked {
+	if err != nil || len(got) != 1 || !slices.Equal(got[0].Crashes, good[0].Crashes) || *got[0].Success != *good[0].Success || *got[0].Trial != *good[0].Trial || got[0].Digest != marked {
 		t.Errorf("got %+v, %v, want what was packed", got, err)
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(good.Pack())
@@ -357,17 +357,17 @@
 		"too many ends":   bad(func(b []byte) []byte { b[16] = 0x0f; return b }),
 		"unknown flag":    bad(func(b []byte) []byte { b[16] |= 0x20; return b }),
 		"an id of zero":   bad(func(b []byte) []byte { copy(b[17:], []byte{0, 0, 0, 0}); return b }),
-		"an age of years": quarantine.News{{Digest: marked, Ends: []quarantine.EndedUnder{{ID: 1, Life: 1, Age: 1 << 40}}}}.Pack(),
-		"a trial of days": quarantine.News{{Digest: marked, Trial: &quarantine.OnTrial{ID: 1, Left: 1 << 30}}}.Pack(),
+		"an age of years": quarantine.Reports{{Digest: marked, Crashes: []quarantine.ReportedCrash{{ID: 1, Incarnation: 1, Age: 1 << 40}}}}.Pack(),
+		"a trial of days": quarantine.Reports{{Digest: marked, Trial: &quarantine.ReportedTrial{ID: 1, Remaining: 1 << 30}}}.Pack(),
 	} {
-		if n, err := quarantine.Unpack(text); !errors.Is(err, quarantine.ErrBadNews) || n != nil {
+		if n, err := quarantine.Unpack(text); !errors.Is(err, quarantine.ErrInvalidReports) || n != nil {
 			t.Errorf("%s: got %v, %v, want it refused", name, n, err)
 		}
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add([]byte(quarantine.News{lie(3)}.Pack()))
+	f.Add([]byte(quarantine.Reports{lie(3)}.Pack()))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		n, err := quarantine.Unpack(string(text))
 		if err != nil {
@@ -375,7 +375,7 @@
 		}
 		l := newList()
 		for _, it := range n {
-			l.Learn(it, notLost, 10_000_000)
+			l.Merge(it, notLost, 10_000_000)
 		}
 		l.Sample(10, 10_000_000).Pack()
 	})
@@ -384,13 +384,13 @@
 // Guards against a request that ends two engines again after all entries lost power.
 func TestOneStrikeMakesASuspectWhileNobodyRemembers(t *testing.T) {
 	l := newList()
-	l.SetAmnesia(60_000)
+	l.SetHistoryLostUntil(60_000)
 	ended(l, marked, 1, 1000)
 	if a, ok := l.Admit(marked, false, 1001).(quarantine.Trial); !ok || a.Strikes != 1 {
 		t.Fatalf("got %+v after one strike, want a trial", a)
 	}
-	l.Placed(marked, 2, 1001)
-	l.Ended(quarantine.Attempt{Digest: marked, Life: 2, Trial: true}, 1300)
+	l.StartTrial(marked, 2, 1001)
+	l.RecordCrash(quarantine.Attempt{Digest: marked, Incarnation: 2, Trial: true}, 1300)
 	for _, now := range []clock.Millis{1400, 3000, 59_000} {
 		if _, ok := l.Admit(marked, false, now).(quarantine.Held); !ok {
 			t.Errorf("got %T at %d after a trial that failed alone, want it held", l.Admit(marked, false, now), now)
@@ -404,19 +404,19 @@
 // One end proves little where many engines end at once, or once an entry remembers.
 func TestOneStrikeInAHerdMakesNoSuspect(t *testing.T) {
 	l := newList()
-	l.SetAmnesia(60_000)
+	l.SetHistoryLostUntil(60_000)
 	ended(l, marked, 1, 1000)
 	for life := range uint32(2) {
 		ended(l, digestOf(2), 2+life, 1050)
 	}
-	if a, ok := l.Admit(marked, false, 1100).(quarantine.Free); !ok {
+	if a, ok := l.Admit(marked, false, 1100).(quarantine.Allowed); !ok {
 		t.Errorf("got %T after an end among three, want it free", a)
 	}
 	l = newList()
-	l.SetAmnesia(60_000)
+	l.SetHistoryLostUntil(60_000)
 	ended(l, marked, 1, 1000)
-	l.SetAmnesia(0)
-	if a, ok := l.Admit(marked, false, 1100).(quarantine.Free); !ok {
+	l.SetHistoryLostUntil(0)
+	if a, ok := l.Admit(marked, false, 1100).(quarantine.Allowed); !ok {
 		t.Errorf("got %T once an entry remembers, want it free", a)
 	}
 }
@@ -426,23 +426,23 @@
 	const known = 40
 	ids := uint32(0)
 	next := func() uint32 { ids++; return ids }
-	knows, started, last := quarantine.New(next), quarantine.New(next), quarantine.New(next)
+	knows, started, last := quarantine.NewList(next), quarantine.NewList(next), quarantine.NewList(next)
 	for n := range known {
-		a := quarantine.Attempt{Digest: digestOf(uint64(n + 1)), Shape: 1}
-		for k := range quarantine.SuspectFrom {
-			a.Life = uint32(100*n + k)
-			knows.Ended(a, clock.Millis(1000+1000*k))
+		a := quarantine.Attempt{Digest: digestOf(uint64(n + 1)), Fingerprint: 1}
+		for k := range quarantine.SuspectStrikes {
+			a.Incarnation = uint32(100*n + k)
+			knows.RecordCrash(a, clock.Millis(1000+1000*k))
 		}
 	}
 	const now = 10_000
-	for knows.Waiting() {
-		knows.Take(quarantine.NewsMost, now)
+	for knows.HasPending() {
+		knows.TakePending(quarantine.MaxReports, now)
 	}
-	knows.Spread()
+	knows.BroadcastSuspects()
 	pass := func(from, to *quarantine.List) {
-		for from.Waiting() {
-			for _, it := range from.Take(quarantine.NewsMost, now) {
-				to.Learn(it, notLost, now)
+		for from.HasPending() {
+			for _, it := range from.TakePending(quarantine.MaxReports, now) {
+				to.Merge(it, notLost, now)
 			}
 		}
 	}
@@ -452,7 +452,7 @@
 		if got, _ := l.Counts(); got != known {
 			t.Errorf("%s: got %d suspects, want %d", name, got, known)
 		}
-		if got, want := l.Sum(now), knows.Sum(now); got != want {
+		if got, want := l.Checksum(now), knows.Checksum(now); got != want {
 			t.Errorf("%s: got the sum %x, want %x", name, got, want)
 		}
 	}
--- a/engines/quarantine/news.go
+++ b/engines/quarantine/news.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// NewsMost bounds the requests in one message.
-	NewsMost = 32
+	// MaxReports bounds the requests in one message.
+	MaxReports = 32
 	// newsBytes bounds what is taken of one, in bytes before it is encoded as text:
 	// NewsMost requests with all that is told of them.
 	newsBytes = 4096
@@ -25,45 +25,45 @@
 	outboxMost = 256
 )
 
-// Item is what entries tell each other of one request. All times are ages.
-type Item struct {
-	Digest Digest
-	Shape  uint32
-	Ends   []EndedUnder
-	// Well is the latest run that ended well, nil if none is known.
-	Well *RanWell
+// Report is what entries tell each other of one request. All times are ages.
+type Report struct {
+	Digest      Digest
+	Fingerprint uint32
+	Crashes     []ReportedCrash
+	// Success is the latest run that ended well, nil if none is known.
+	Success *ReportedSuccess
 	// Trial is the latest trial, nil if none is under way or lately was.
-	Trial *OnTrial
+	Trial *ReportedTrial
 }
 
-// EndedUnder is an engine that ended while it had the request.
-type EndedUnder struct {
+// ReportedCrash is an engine that ended while it had the request.
+type ReportedCrash struct {
 	ID uint32
-	// Life is the mark of the life of the engine.
-	Life uint32
+	// Incarnation is the mark of the life of the engine.
+	Incarnation uint32
 	// Age is how long ago it ended.
 	Age clock.Millis
 	// Trial is true if it ran the request alone, to find out.
 	Trial bool
-	// Dark is true if all that shows it is that the engine went dark.
-	Dark bool
+	// Unresponsive is true if all that shows it is that the engine went dark.
+	Unresponsive bool
 }
 
-// RanWell is a run that ended well.
-type RanWell struct {
+// ReportedSuccess is a run that ended well.
+type ReportedSuccess struct {
 	ID  uint32
 	Age clock.Millis
 }
 
-// OnTrial is a trial.
-type OnTrial struct {
-	ID, Life uint32
-	// Left is how much longer it may take; zero or less if it is over.
-	Left clock.Millis
+// ReportedTrial is a trial.
+type ReportedTrial struct {
+	ID, Incarnation uint32
+	// Remaining is how much longer it may take; zero or less if it is over.
+	Remaining clock.Millis
 }
 
-// News are items of one message.
-type News []Item
+// Reports are items of one message.
+type Reports []Report
 
 // flags of a packed item.
 const (
@@ -75,7 +75,7 @@
 
 // Pack returns news as text, "" if there are none. A request with one strike has 28
 // bytes before that.
-func (n News) Pack() string {
+func (n Reports) Pack() string {
 	var b []byte
 	for _, it := range n {
 		b = it.pack(b)
@@ -83,11 +83,11 @@
 	return base64.RawStdEncoding.EncodeToString(b)
 }
 
-func (it Item) pack(b []byte) []byte {
+func (it Report) pack(b []byte) []byte {
 	b = append(b, it.Digest[:]...)
-	b = binary.BigEndian.AppendUint32(b, it.Shape)
-	flags := byte(len(it.Ends))
-	if it.Well != nil {
+	b = binary.BigEndian.AppendUint32(b, it.Fingerprint)
+	flags := byte(len(it.Crashes))
+	if it.Success != nil {
 		flags |= hasWell
 	}
 	if it.Trial != nil {
@@ -98,32 +98,32 @@
 		flags |= hasDark
 	}
 	b = append(b, flags)
-	for _, e := range it.Ends {
+	for _, e := range it.Crashes {
 		b = binary.BigEndian.AppendUint32(b, e.ID)
-		b = binary.BigEndian.AppendUint32(b, e.Life)
+		b = binary.BigEndian.AppendUint32(b, e.Incarnation)
 		b = binary.AppendUvarint(b, uint64(max(0, e.Age))<<1|uint64(trialBit(e.Trial)))
 	}
 	if dark != 0 {
 		b = append(b, dark)
 	}
-	if it.Well != nil {
-		b = binary.BigEndian.AppendUint32(b, it.Well.ID)
-		b = binary.AppendUvarint(b, uint64(max(0, it.Well.Age)))
+	if it.Success != nil {
+		b = binary.BigEndian.AppendUint32(b, it.Success.ID)
+		b = binary.AppendUvarint(b, uint64(max(0, it.Success.Age)))
 	}
 	if it.Trial != nil {
 		b = binary.BigEndian.AppendUint32(b, it.Trial.ID)
-		b = binary.BigEndian.AppendUint32(b, it.Trial.Life)
-		b = binary.AppendUvarint(b, uint64(max(0, it.Trial.Left)))
+		b = binary.BigEndian.AppendUint32(b, it.Trial.Incarnation)
+		b = binary.AppendUvarint(b, uint64(max(0, it.Trial.Remaining)))
 	}
 	return b
 }
 
 // darkBits has a bit for each end that is known by a dark engine alone, the lowest for the
 // first.
-func (it Item) darkBits() byte {
+func (it Report) darkBits() byte {
 	var bits byte
-	for i, e := range it.Ends {
-		if e.Dark {
+	for i, e := range it.Crashes {
+		if e.Unresponsive {
 			bits |= 1 << i
 		}
 	}
@@ -137,26 +137,26 @@
 	return 0
 }
 
-// ErrBadNews is news that make no sense.
-var ErrBadNews = errors.New("word of requests that makes no sense")
+// ErrInvalidReports is news that make no sense.
+var ErrInvalidReports = errors.New("word of requests that makes no sense")
 
 // Unpack reads what Pack wrote. All of a text that makes no sense is dropped, with an
 // error that wraps ErrBadNews.
-func Unpack(text string) (News, error) {
+func Unpack(text string) (Reports, error) {
 	if most := base64.RawStdEncoding.EncodedLen(newsBytes); len(text) > most {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d are taken", ErrBadNews, len(text), most)
+		return nil, fmt.Errorf("%w: %d bytes, at most %d are taken", ErrInvalidReports, len(text), most)
 	}
 	b, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBadNews, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidReports, err)
 	}
 	p := parser{b: b}
-	var out News
+	var out Reports
 	for len(p.b) > 0 {
 		out = append(out, p.item())
 	}
 	if p.err != nil {
-		return nil, fmt.Errorf("%w: item %d: %w", ErrBadNews, len(out), p.err)
+		return nil, fmt.Errorf("%w: item %d: %w", ErrInvalidReports, len(out), p.err)
 	}
 	return out, nil
 }
@@ -220,8 +220,8 @@
 	return clock.Millis(v)
 }
 
-func (p *parser) item() Item {
-	it := Item{Digest: Digest(p.bytes(len(Digest{}))), Shape: p.uint32()}
+func (p *parser) item() Report {
+	it := Report{Digest: Digest(p.bytes(len(Digest{}))), Fingerprint: p.uint32()}
 	flags := p.bytes(1)[0]
 	ends := int(flags & endsMask)
 	if ends > endsMost || flags&^(hasWell|hasTrial|hasDark|endsMask) != 0 {
@@ -229,69 +229,69 @@
 		return it
 	}
 	for range ends {
-		e := EndedUnder{ID: p.id(), Life: p.uint32()}
-		age := p.millis(4 * KeepFor)
+		e := ReportedCrash{ID: p.id(), Incarnation: p.uint32()}
+		age := p.millis(4 * Retention)
 		e.Age, e.Trial = age>>1, age&1 == 1
-		it.Ends = append(it.Ends, e)
+		it.Crashes = append(it.Crashes, e)
 	}
 	if flags&hasDark != 0 {
 		dark := p.bytes(1)[0]
 		if dark == 0 || int(dark)>>ends != 0 {
 			p.fail(errNoEnd)
 		}
-		for i := range it.Ends {
-			it.Ends[i].Dark = dark&(1<<i) != 0
+		for i := range it.Crashes {
+			it.Crashes[i].Unresponsive = dark&(1<<i) != 0
 		}
 	}
 	if flags&hasWell != 0 {
-		it.Well = &RanWell{ID: p.id(), Age: p.millis(2 * KeepFor)}
+		it.Success = &ReportedSuccess{ID: p.id(), Age: p.millis(2 * Retention)}
 	}
 	if flags&hasTrial != 0 {
-		it.Trial = &OnTrial{ID: p.id(), Life: p.uint32(), Left: p.millis(TrialLimit)}
+		it.Trial = &ReportedTrial{ID: p.id(), Incarnation: p.uint32(), Remaining: p.millis(TrialTimeout)}
 	}
 	return it
 }
 
 // itemOf is what is told of a request.
-func (r *record) itemOf(now clock.Millis) Item {
-	it := Item{Digest: r.digest, Shape: r.shape}
+func (r *record) itemOf(now clock.Millis) Report {
+	it := Report{Digest: r.digest, Fingerprint: r.shape}
 	for _, e := range r.ends {
-		it.Ends = append(it.Ends, EndedUnder{ID: e.id, Life: e.life, Age: now - e.at, Trial: e.trial, Dark: e.dark})
+		it.Crashes = append(it.Crashes, ReportedCrash{ID: e.id, Incarnation: e.life, Age: now - e.at, Trial: e.trial, Unresponsive: e.dark})
 	}
 	if r.well.id != 0 {
-		it.Well = &RanWell{ID: r.well.id, Age: now - r.well.at}
+		it.Success = &ReportedSuccess{ID: r.well.id, Age: now - r.well.at}
 	}
-	if r.trial.id != 0 && now-r.trial.until < TrialLimit {
-		it.Trial = &OnTrial{ID: r.trial.id, Life: r.trial.life, Left: max(0, r.trial.until-now)}
+	if r.trial.id != 0 && now-r.trial.until < TrialTimeout {
+		it.Trial = &ReportedTrial{ID: r.trial.id, Incarnation: r.trial.life, Remaining: max(0, r.trial.until-now)}
 	}
 	return it
 }
 
-// Learn takes what another entry tells of a request, at the time at which it came. What
+// Merge takes what another entry tells of a request, at the time at which it came. What
 // is new is told on. lost reports whether this entry itself found that a life of an engine
 // is over. It reports whether anything was new.
-func (l *List) Learn(it Item, lost func(life uint32) bool, now clock.Millis) bool {
+func (l *List) Merge(it Report, lost func(life uint32) bool, now clock.Millis) bool {
 	r := l.get(it.Digest)
 	known := r != nil
 	if !known {
-		r = &record{digest: it.Digest, shape: it.Shape, usedAt: now}
+		r = &record{digest: it.Digest, shape: it.Fingerprint, usedAt: now}
 	}
 	news := false
-	if it.Well != nil {
-		news = r.ranWell(well{id: it.Well.ID, at: now - it.Well.Age})
+	if it.Success != nil {
+		news = r.ranWell(well{id: it.Success.ID, at: now - it.Success.Age})
 	}
 	stale := false
-	for _, e := range it.Ends {
+	for _, e := range it.Crashes {
 		at := now - e.Age
 		if r.well.id != 0 && at <= r.well.at {
 			stale = true
 			continue
 		}
-		l.noteEnd(e.Life, at)
-		news = r.add(end{id: e.ID, life: e.Life, at: at, trial: e.Trial, dark: e.Dark, confirmed: !e.Dark && lost(e.Life)}) || news
+		l.noteEnd(e.Incarnation, at)
+		news = r.add(end{id: e.ID, life: e.Incarnation, at: at, trial: e.Trial, dark: e.Unresponsive, confirmed: !e.Unresponsive && lost(e.Incarnation)}) || news
 	}
 	if it.Trial != nil {
-		news = r.tried(trial{id: it.Trial.ID, life: it.Trial.Life, until: now + it.Trial.Left}, now) || news
+		news = r.tried(trial{id: it.Trial.ID, life: it.Trial.Incarnation, until: now + it.Trial.Remaining}, now) || news
 	}
 	if !known && r.strikes() == 0 {
 		return false
@@ -310,9 +310,9 @@
 	return news
 }
 
-// Take returns news for others, at most n requests, the urgent ones first.
-func (l *List) Take(n int, now clock.Millis) News {
-	var out News
+// TakePending returns news for others, at most n requests, the urgent ones first.
+func (l *List) TakePending(n int, now clock.Millis) Reports {
+	var out Reports
 	for _, d := range l.news.take(n) {
 		if r := l.get(d); r != nil {
 			out = append(out, r.itemOf(now))
@@ -321,24 +321,24 @@
 	return out
 }
 
-// Spread has others told of all suspects.
-func (l *List) Spread() {
+// BroadcastSuspects has others told of all suspects.
+func (l *List) BroadcastSuspects() {
 	for _, r := range l.suspected() {
 		l.news.add(r.digest, true)
 	}
 }
 
-// Waiting reports whether there are news for others.
-func (l *List) Waiting() bool { return l.news.len() > 0 }
+// HasPending reports whether there are news for others.
+func (l *List) HasPending() bool { return l.news.len() > 0 }
 
-// Sum stands for all suspects and their trials: two entries that know the same have the
+// Checksum stands for all suspects and their trials: two entries that know the same have the
 // same. It is zero if there are none.
-func (l *List) Sum(now clock.Millis) uint64 {
+func (l *List) Checksum(now clock.Millis) uint64 {
 	var sum uint64
 	for _, r := range l.suspected() {
 		var b []byte
 		b = append(b, r.digest[:]...)
-		b = append(b, byte(min(r.strikes(), SuspectFrom+failedMost)))
+		b = append(b, byte(min(r.strikes(), SuspectStrikes+failedMost)))
 		if r.trial.life != 0 && r.trial.underWay(now) {
 			b = binary.BigEndian.AppendUint32(b, r.trial.id)
 		}
@@ -353,9 +353,9 @@
 }
 
 // Sample returns some of the suspects, others each time.
-func (l *List) Sample(n int, now clock.Millis) News {
+func (l *List) Sample(n int, now clock.Millis) Reports {
 	in := l.suspected()
-	var out News
+	var out Reports
 	for range min(n, len(in)) {
 		l.next = (l.next + 1) % len(in)
 		out = append(out, in[l.next].itemOf(now))
--- a/engines/quarantine/simulation_test.go
+++ b/engines/quarantine/simulation_test.go
@@ -134,7 +134,7 @@
 				}
 				// It ran well once by then: the engines are back, a trial that failed with
 				// the third time is made again, and a second later all know.
-				f.run(4400 + fleetDown + 1000 + quarantine.Settle + 150 + 1000)
+				f.run(4400 + fleetDown + 1000 + quarantine.ClaimSettleTime + 150 + 1000)
 				before := f.served[hot]
 				f.run(3000)
 				if got := f.served[hot] - before; got < 180 {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -120,7 +120,7 @@
 	})
 	e.offers = offer.New(e.links, e.node)
 	e.guard = quarantine.NewGuard(cfg.Clock, cfg.Log)
-	e.gossip = gossip.New(gossip.Config{From: cfg.ID, Source: suspects{e.guard}, Links: e.links, Others: e.node.Entries, Log: cfg.Log})
+	e.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: suspects{e.guard}, Links: e.links, RandomPeers: e.node.Entries, Log: cfg.Log})
 	return e
 }
 
@@ -143,7 +143,7 @@
 // Call implements link.Handler.
 func (e *Entry) Call(_ context.Context, _ *link.Conn, method string, params json.RawMessage) (any, error) {
 	if method == gossip.MethodCompare {
-		return e.gossip.Answer(suspects{e.guard}, params)
+		return e.gossip.HandleCompare(suspects{e.guard}, params)
 	}
 	res, ok, err := e.node.Handle(method, params)
 	if !ok {
@@ -155,7 +155,7 @@
 // Notify implements link.Handler.
 func (e *Entry) Notify(_ *link.Conn, method string, params json.RawMessage) {
 	if method == gossip.MethodTell {
-		e.gossip.Told(params)
+		e.gossip.HandleUpdate(params)
 		return
 	}
 	e.node.HandleNotify(method, params)
--- a/entry/send.go
+++ b/entry/send.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return e.failed(c, err)
 	}
-	defer e.guard.Over(c.suspect())
+	defer e.guard.EndTrial(c.suspect())
 	var tries []route.Try
 	var last *verdict.Error
 	for {
@@ -46,7 +46,7 @@
 		c.attempts++
 		c.offered = s.Engine
 		if alone {
-			e.guard.Placed(c.suspect(), 0, s.Engine)
+			e.guard.StartTrial(c.suspect(), 0, s.Engine)
 		}
 		o, res := e.offers.Do(ctx, offer.Daemon{ID: to.ID, Addr: to.Addr}, e.runOf(c, s, mean), answer{c, e.clk})
 		e.node.Ended(s.Engine)
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -15,18 +15,18 @@
 // suspects is what this entry knows of requests that end engines, as others ask for it.
 type suspects struct{ *quarantine.Guard }
 
-var _ gossip.Teller = suspects{}
+var _ gossip.Summarizer = suspects{}
 
-// HearSuspects implements gossip.Source. Only daemons see their engines end, so no end
+// ReceiveSuspects implements gossip.Source. Only daemons see their engines end, so no end
 // that others tell of is confirmed here.
-func (s suspects) HearSuspects(from, packed string) {
-	s.Hear(from, packed, func(uint32) bool { return false })
+func (s suspects) ReceiveSuspects(from, packed string) {
+	s.Receive(from, packed, func(uint32) bool { return false })
 }
 
 // suspect returns the call as the guard knows it.
 func (c *call) suspect() *quarantine.Request {
 	if c.guarded == nil {
-		c.guarded = quarantine.NewRequest(c.id, quarantine.Asked{Workspace: c.workspacePath(), Method: c.r.Method, URI: c.r.URL.RequestURI()}, c.body)
+		c.guarded = quarantine.NewRequest(c.id, quarantine.RequestKey{Workspace: c.workspacePath(), Method: c.r.Method, URI: c.r.URL.RequestURI()}, c.body)
 	}
 	return c.guarded
 }
@@ -40,31 +40,31 @@
 		return false, err
 	}
 	if usable, listed := e.node.Pool(c.pool); usable <= 1 && listed > 1 {
-		e.guard.Over(c.suspect())
-		return false, verdict.New(v, verdict.HeldBack, "engines ended while they ran this request, and none of pool %q can be spared to try it", c.pool).WithRetryAfter(quarantine.TrialBack)
+		e.guard.EndTrial(c.suspect())
+		return false, verdict.New(v, verdict.HeldBack, "engines ended while they ran this request, and none of pool %q can be spared to try it", c.pool).WithRetryAfter(quarantine.TrialRetryAfter)
 	}
 	q.Affine, q.Returning, q.Hint = false, false, ""
 	return true, nil
 }
 
 // contact returns how this entry stands with others.
-func (e *Entry) contact() quarantine.Contact {
+func (e *Entry) contact() quarantine.Connectivity {
 	switch {
 	case len(e.node.Entries(1)) == 0:
-		return quarantine.Single
+		return quarantine.Standalone
 	case !e.node.MajoritySeen():
 		return quarantine.Isolated
 	}
-	return quarantine.InContact
+	return quarantine.Connected
 }
 
 // learnEnd records what the end of an attempt tells of the request.
 func (e *Entry) learnEnd(c *call, o attempt.Outcome, res wire.Result) {
 	if res.Ended != 0 {
-		e.guard.Struck(c.suspect(), res.Ended, c.offered)
+		e.guard.RecordCrash(c.suspect(), res.Ended, c.offered)
 	}
 	if a, ok := o.(attempt.Answered); ok && a.End == framing.Complete {
-		e.guard.RanWell(c.suspect())
+		e.guard.RecordSuccess(c.suspect())
 	}
-	e.guard.Over(c.suspect())
+	e.guard.EndTrial(c.suspect())
 }
--- a/gate/account.go
+++ b/gate/account.go
@@ -76,7 +76,7 @@
 		engine = c.tried[len(c.tried)-1]
 	}
 	if c.err == nil && c.route != nil && c.reply.Status() == http.StatusOK && c.reply.Observed().Ended == framing.Complete {
-		g.durations.Whole(c.route.Name, now-c.start)
+		g.durations.RecordResponse(c.route.Name, now-c.start)
 	}
 	attrs := []any{
 		"request", c.id, "service", c.service, "engine", engine, "attempts", len(c.tried), "how", c.how, "kept", c.kept, "fetched", c.fetched, "dearer", c.dearer, "read_us", math.Round(c.readTime * microsPerMilli),
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -29,11 +29,11 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	over := make(chan struct{})
-	wait := max(clock.Millis(askAfter*float64(c.route.GoalOrUsual())), g.durations.FirstSign(c.route))
+	wait := max(clock.Millis(askAfter*float64(c.route.GoalOrUsual())), g.durations.MaxTimeToFirstOutput(c.route))
 	stop := clock.AfterUnless(wait, func() {
 		defer close(over)
 		if g.isDark(ctx, e, service.HealthPath, sent) {
-			g.guard.Dark(c.suspect(), e.Incarnation().Mark(), e.ID, sent)
+			g.guard.RecordUnresponsive(c.suspect(), e.Incarnation().Mark(), e.ID, sent)
 		}
 	})
 	return func() {
@@ -66,7 +66,7 @@
 // passOverDark keeps the request from engines that went dark under it: what it does there
 // shows nothing more.
 func (g *Gate) passOverDark(c *call) {
-	lives := g.guard.DarkLives(c.suspect())
+	lives := g.guard.UnresponsiveIncarnations(c.suspect())
 	if len(lives) == 0 {
 		return
 	}
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -96,7 +96,7 @@
 func (g *Gate) Tell(loads, suspects int) peers.Known {
 	now := g.clk.Now()
 	k := peers.Known{}
-	k.SuspectSum, k.Suspects = g.guard.Tell(suspects)
+	k.SuspectSum, k.Suspects = g.guard.Summarize(suspects)
 	t := g.table.Load()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 	g.hearAges(k, at)
 	g.HearLoads(k.Loads, at)
-	g.HearSuspects(from, k.Suspects)
+	g.ReceiveSuspects(from, k.Suspects)
 }
 
 func (g *Gate) hearAges(k peers.Known, at clock.Millis) {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -118,7 +118,7 @@
 	leave     leave
 	active    atomic.Int64
 	counts    counts
-	durations *duration.Answers
+	durations *duration.Estimator
 	// speeds has how fast the engines of each service read prompts. It is guarded by mu.
 	speeds map[string]*prefill.Speed
 	// guard knows the requests under which engines ended, and inquiries asks each address
@@ -194,7 +194,7 @@
 		reserved: nameSet(d.Reserved), internal: nameSet(d.Internal),
 		pool: upstream.NewPool(cfg.Clock, upstream.Names{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
 		book: engines.NewBook(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
-		durations: duration.New(), speeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
+		durations: duration.NewEstimator(), speeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
 	}
 	g.leave.estimate = g.estimate
 	metrics.GetOrCreateGauge("weldfall_table_age_seconds", g.tableAge)
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -90,7 +90,7 @@
 // busyUntil returns when all that runs is done at the latest; zero if nothing
 // does.
 func (l *leave) busyUntil() clock.Millis {
-	return l.last(func(e duration.Estimate) clock.Millis { return e.Most })
+	return l.last(func(e duration.Estimate) clock.Millis { return e.Max })
 }
 
 // last returns the last of the ends of all that runs, where an answer takes what
@@ -122,7 +122,7 @@
 	if since == 0 {
 		return peers.Stop{}
 	}
-	busy := g.leave.last(func(e duration.Estimate) clock.Millis { return e.Usual })
+	busy := g.leave.last(func(e duration.Estimate) clock.Millis { return e.Typical })
 	end := max(busy, since+g.bounds().BalancerLag+callers.Quiet)
 	return peers.Stop{Since: since, End: min(end, clock.Millis(g.leave.by.Load()))}
 }
--- a/gate/list.go
+++ b/gate/list.go
@@ -47,9 +47,9 @@
 // leaves ended as planned, whatever ran there.
 func (g *Gate) tellEnd(in engines.Info) {
 	mark := in.Incarnation().Mark()
-	g.guard.Confirm(mark)
+	g.guard.ConfirmCrash(mark)
 	if !in.Leaving {
-		g.guard.LifeEnded(mark, in.ID, groundListed)
+		g.guard.RecordIncarnationEnd(mark, in.ID, groundListed)
 	}
 }
 
--- a/gate/place.go
+++ b/gate/place.go
@@ -97,7 +97,7 @@
 func (g *Gate) tellTrust(n engines.Incarnation, t engines.Trust, cause string) {
 	g.logTrust(n.ID, t, cause)
 	if t == engines.Suspected {
-		g.guard.Confirm(n.Mark())
+		g.guard.ConfirmCrash(n.Mark())
 		go g.seek(n)
 	}
 }
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -71,7 +71,7 @@
 func (x exchange) Came() { x.g.heard(x.with, "") }
 
 // Long implements relay.Exchange.
-func (x exchange) Long() { x.g.durations.Long(x.c.route.Name) }
+func (x exchange) Long() { x.g.durations.RecordPassThrough(x.c.route.Name) }
 
 // Passing implements relay.Exchange.
 func (x exchange) Passing(events int) {
@@ -87,12 +87,12 @@
 	case n == 0:
 		return
 	case c.runFrom == 0:
-		g.durations.First(c.route.Name, now-c.start)
+		g.durations.RecordFirstEvent(c.route.Name, now-c.start)
 		g.learnReading(c, now)
-	case n-c.runFrom < duration.Run:
+	case n-c.runFrom < duration.RunEvents:
 		return
 	default:
-		g.durations.Pace(c.route.Name, c.expected.Service, duration.Run*(now-c.runAt)/clock.Millis(n-c.runFrom))
+		g.durations.RecordRun(c.route.Name, c.expected.Service, duration.RunEvents*(now-c.runAt)/clock.Millis(n-c.runFrom))
 	}
 	c.runFrom, c.runAt = n, now
 }
@@ -100,7 +100,7 @@
 // learnRest records how long the events took that came after the last run.
 func (g *Gate) learnRest(c *call) {
 	if n := c.events - c.runFrom; c.runFrom > 0 && n > 0 {
-		g.durations.Rest(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runAt)
+		g.durations.RecordTail(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runAt)
 	}
 }
 
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -54,11 +54,11 @@
 func (g *Gate) budget(service string) *serviceBudget {
 	bounds := g.bounds()
 	cfg := budget.Config{
-		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, Since: g.began,
+		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.began,
 		Extra: bounds.RetryExtra / float64(max(extraShare, extraLives*g.mostEntries)),
 	}
 	if b := g.budgets[service]; b != nil {
-		b.Set(cfg)
+		b.Configure(cfg)
 		return b
 	}
 	label := service
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.budget(c.service)
-	b.Request(g.clk.Now())
+	b.RecordRequest(g.clk.Now())
 	b.requests.Inc()
 }
 
@@ -115,6 +115,6 @@
 		}
 		b.told = u.Spent + u.Denied
 		g.log.Info("repeats", "service", service, "requests", u.Requests, "spent", u.Spent, "denied", u.Denied,
-			"least_left", tenths(u.Least), "ratio", bounds.RetryRatio, "extra", bounds.RetryExtra, "window_ms", bounds.RetryWindow)
+			"least_left", tenths(u.MinRemaining), "ratio", bounds.RetryRatio, "extra", bounds.RetryExtra, "window_ms", bounds.RetryWindow)
 	}
 }
--- a/gate/resolve.go
+++ b/gate/resolve.go
@@ -54,7 +54,7 @@
 }
 
 // longestHold bounds the time of any request.
-const longestHold = duration.Longest
+const longestHold = duration.DefaultTimeout
 
 // resolve finds the route and what it says of the request.
 func (g *Gate) resolve(_ context.Context, c *call) *verdict.Error {
--- a/gate/send.go
+++ b/gate/send.go
@@ -96,7 +96,7 @@
 		return g.engineRefused(e.Info, a)
 	}
 	c.ran++
-	g.guard.Alive(e.Incarnation().Mark(), a.Opened())
+	g.guard.RecordAlive(e.Incarnation().Mark(), a.Opened())
 	o := g.relay(ctx, c, e.Info, a)
 	g.finish(e.Incarnation(), judge(ctx, o))
 	return o
@@ -196,7 +196,7 @@
 		free = c.refused < mostRefused
 		final = verdict.New(c.verdict(), verdict.Overloaded, "%d engines of %s refused", c.refused, c.service)
 	case attempt.Broken:
-		free = c.route.Repeatable() && c.ran < c.route.Attempts && c.suspect().Ended() < mostEnded && c.reply.MayGoOn()
+		free = c.route.Repeatable() && c.ran < c.route.Attempts && c.suspect().Crashes() < mostEnded && c.reply.MayGoOn()
 		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s: %w", e.ID, o.Err)
 	case attempt.Failed:
 		free = c.route.Repeatable() && c.ran < c.route.Attempts
--- a/gate/stay.go
+++ b/gate/stay.go
@@ -87,7 +87,7 @@
 	req := duration.Request{Route: c.route, Service: c.service}
 	if s, ok := c.table.Service(c.service); ok && s.EventTokens > 0 {
 		tokens := prompt.MostTokens(c.r.Header.Get(g.wire.Tokens))
-		req.Events = (tokens + s.EventTokens - 1) / s.EventTokens
+		req.MaxEvents = (tokens + s.EventTokens - 1) / s.EventTokens
 		// Events of another size have another pace.
 		req.Service += "/" + strconv.Itoa(s.EventTokens)
 	}
@@ -99,7 +99,7 @@
 func (g *Gate) estimate(c *call) duration.Estimate {
 	e := g.durations.Estimate(c.expected)
 	left := c.left(c.start)
-	e.Most, e.Usual = min(e.Most, left), min(e.Usual, left)
+	e.Max, e.Typical = min(e.Max, left), min(e.Typical, left)
 	return e
 }
 
@@ -115,9 +115,9 @@
 // need is how much of the room an answer takes.
 func (r room) need(e duration.Estimate) clock.Millis {
 	if r.usual {
-		return e.Usual
+		return e.Typical
 	}
-	return e.Most
+	return e.Max
 }
 
 // room returns what a stopping process takes: what ends before it must end
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -18,7 +18,7 @@
 // suspect returns the call as the guard knows it.
 func (c *call) suspect() *quarantine.Request {
 	if c.guarded == nil {
-		a := quarantine.Asked{Host: strings.ToLower(c.r.Host), Method: c.r.Method, URI: c.r.RequestURI}
+		a := quarantine.RequestKey{Host: strings.ToLower(c.r.Host), Method: c.r.Method, URI: c.r.RequestURI}
 		if c.workspace != nil {
 			a.Workspace = c.workspace.Name
 		}
@@ -38,26 +38,26 @@
 	switch {
 	case !alone:
 	case err != nil:
-		g.guard.Over(c.suspect())
+		g.guard.EndTrial(c.suspect())
 	default:
 		life := e.Incarnation().Mark()
-		g.reserve(life, g.clk.Now()+quarantine.TrialLimit)
-		g.guard.Placed(c.suspect(), life, e.ID)
+		g.reserve(life, g.clk.Now()+quarantine.TrialTimeout)
+		g.guard.StartTrial(c.suspect(), life, e.ID)
 	}
 	return e, err
 }
 
 // contact returns how this entry stands with others.
-func (g *Gate) contact() quarantine.Contact {
+func (g *Gate) contact() quarantine.Connectivity {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch f := g.fleet; {
 	case g.mostEntries <= 1:
-		return quarantine.Single
+		return quarantine.Standalone
 	case f.Serving+f.Earlier+f.Later == 0:
 		return quarantine.Isolated
 	}
-	return quarantine.InContact
+	return quarantine.Connected
 }
 
 // learnEnd records what the end of an attempt tells of the request. An engine that ended
@@ -67,14 +67,14 @@
 	switch o := o.(type) {
 	case attempt.Answered:
 		if o.End == framing.Complete && c.reply.Status() < http.StatusMultipleChoices {
-			g.guard.RanWell(c.suspect())
+			g.guard.RecordSuccess(c.suspect())
 		}
 	case attempt.Broken:
 		g.learnBreak(ctx, c, e, o.Err)
 	case attempt.Failed, attempt.Refused, attempt.Unsent, attempt.CallerGone:
 	}
 	if c.alone {
-		g.guard.Over(c.suspect())
+		g.guard.EndTrial(c.suspect())
 		g.reserve(life, 0)
 	}
 }
@@ -84,19 +84,19 @@
 func (g *Gate) learnBreak(ctx context.Context, c *call, e pick, err error) {
 	life := e.Incarnation()
 	if g.engineEnded(ctx, e.Info, err) {
-		g.guard.Struck(c.suspect(), life.Mark(), e.ID)
+		g.guard.RecordCrash(c.suspect(), life.Mark(), e.ID)
 		return
 	}
 	silent := errors.Is(err, upstream.ErrSilent)
 	if ctx.Err() != nil || !(silent || upstream.BrokenOff(err)) {
 		return
 	}
-	g.guard.Broke(c.suspect(), life.Mark(), e.ID, silent)
+	g.guard.RecordBrokenAttempt(c.suspect(), life.Mark(), e.ID, silent)
 	g.mu.Lock()
 	crashed := g.book.Crashed(life)
 	g.mu.Unlock()
 	if crashed {
-		g.guard.LifeEnded(life.Mark(), e.ID, groundListed)
+		g.guard.RecordIncarnationEnd(life.Mark(), e.ID, groundListed)
 	}
 }
 
@@ -148,18 +148,18 @@
 	return e != nil && e.Unreached()
 }
 
-// HearSuspects implements peers.Facts.
-func (g *Gate) HearSuspects(from, packed string) {
-	for _, t := range g.guard.Hear(from, packed, g.isLost) {
-		g.reserve(t.Life, g.clk.Now()+t.Left)
+// ReceiveSuspects implements peers.Facts.
+func (g *Gate) ReceiveSuspects(from, packed string) {
+	for _, t := range g.guard.Receive(from, packed, g.isLost) {
+		g.reserve(t.Incarnation, g.clk.Now()+t.Remaining)
 	}
 }
 
 // SpreadSuspects implements peers.Facts.
-func (g *Gate) SpreadSuspects() { g.guard.Spread() }
+func (g *Gate) SpreadSuspects() { g.guard.BroadcastSuspects() }
 
-// News implements peers.Facts.
-func (g *Gate) News() <-chan struct{} { return g.guard.News() }
+// SuspectsPending implements peers.Facts.
+func (g *Gate) SuspectsPending() <-chan struct{} { return g.guard.SuspectsPending() }
 
-// TakeNews implements peers.Facts.
-func (g *Gate) TakeNews() string { return g.guard.TakeNews() }
+// TakeSuspects implements peers.Facts.
+func (g *Gate) TakeSuspects() string { return g.guard.TakeSuspects() }
--- a/peers/cost_test.go
+++ b/peers/cost_test.go
@@ -50,10 +50,10 @@
 func (*busyFacts) Wanted(uint32) (changes.Place, bool)            { return changes.Place{}, false }
 func (*busyFacts) Since(changes.Place) (changes.Word, bool)       { return changes.Word{}, false }
 func (*busyFacts) HearChanges(string, changes.Word, clock.Millis) {}
-func (*busyFacts) HearSuspects(string, string)                    {}
+func (*busyFacts) ReceiveSuspects(string, string)                 {}
 func (*busyFacts) SpreadSuspects()                                {}
-func (*busyFacts) News() <-chan struct{}                          { return nil }
-func (*busyFacts) TakeNews() string                               { return "" }
+func (*busyFacts) SuspectsPending() <-chan struct{}               { return nil }
+func (*busyFacts) TakeSuspects() string                           { return "" }
 
 func (f *busyFacts) SetFleet(fleet peers.Fleet) {
 	f.mu.Lock()
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -160,7 +160,7 @@
 	p.links = link.NewPool(cfg.Clock, p)
 	// Connections may have died while the instance was suspended.
 	cfg.Clock.OnSuspend(func(clock.Millis) { p.links.CloseUnheard(p.clk.Now()) })
-	p.gossip = gossip.New(gossip.Config{From: cfg.ID, Source: cfg.Facts, Links: p.links, Others: p.some, Log: cfg.Log})
+	p.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: cfg.Facts, Links: p.links, RandomPeers: p.some, Log: cfg.Log})
 	return p
 }
 
@@ -394,7 +394,7 @@
 // Notify implements link.Handler.
 func (p *Peers) Notify(_ *link.Conn, method string, params json.RawMessage) {
 	if method == gossip.MethodTell {
-		p.gossip.Told(params)
+		p.gossip.HandleUpdate(params)
 	}
 }
 
--- a/peers/silent_test.go
+++ b/peers/silent_test.go
@@ -43,13 +43,13 @@
 func (f *facts) Wanted(uint32) (changes.Place, bool)            { return changes.Place{}, false }
 func (f *facts) Since(changes.Place) (changes.Word, bool)       { return changes.Word{}, false }
 func (f *facts) HearChanges(string, changes.Word, clock.Millis) {}
-func (f *facts) HearSuspects(string, string)                    {}
+func (f *facts) ReceiveSuspects(string, string)                 {}
 
 func (f *facts) SpreadSuspects() {}
 
-func (f *facts) News() <-chan struct{} { return nil }
+func (f *facts) SuspectsPending() <-chan struct{} { return nil }
 
-func (f *facts) TakeNews() string { return "" }
+func (f *facts) TakeSuspects() string { return "" }
 
 // When all connections between entries fall silent, each loses one question and
 // then asks over new connections.
--- a/peers/suspects.go
+++ b/peers/suspects.go
@@ -16,7 +16,7 @@
 
 // question is what a peer is asked with.
 func (p *Peers) question() message {
-	k := p.cfg.Facts.Tell(loadsAsked, gossip.Asked)
+	k := p.cfg.Facts.Tell(loadsAsked, gossip.MaxRequestSuspects)
 	p.mu.Lock()
 	at := p.differedAt
 	p.mu.Unlock()
@@ -28,8 +28,8 @@
 
 // answer is what a peer is told that asked. Suspects are in it if the peer knows others.
 func (p *Peers) answer(question message) message {
-	p.cfg.Facts.HearSuspects(question.sender(), question.Known.Suspects)
-	k := p.cfg.Facts.Tell(loadsTold, gossip.Told)
+	p.cfg.Facts.ReceiveSuspects(question.sender(), question.Known.Suspects)
+	k := p.cfg.Facts.Tell(loadsTold, gossip.MaxResponseSuspects)
 	if !p.differ(k, question.Known) {
 		k.Suspects = ""
 	}
