--- a/engines/budget/budget.go
+++ b/engines/budget/budget.go
@@ -20,7 +20,7 @@
 
 // share is the part of the ratio that may be spent in a window, by a process and by those that
 // follow it. The rest is a margin for what no process sees.
-const share = 0.8
+const spendableShare = 0.8
 
 // Config sets up a Budget.
 type Config struct {
@@ -40,8 +40,8 @@
 // Budget counts the requests and the repeats of one service.
 type Budget struct {
 	cfg    Config
-	window window
-	bucket bucket
+	window slidingWindow
+	bucket tokenBucket
 	usage  Usage
 }
 
@@ -57,32 +57,32 @@
 
 // New returns a budget that has counted nothing.
 func New(cfg Config) *Budget {
-	return &Budget{cfg: cfg, bucket: newBucket(cfg), usage: Usage{MinRemaining: math.Inf(1)}}
+	return &Budget{cfg: cfg, bucket: newTokenBucket(cfg), usage: Usage{MinRemaining: math.Inf(1)}}
 }
 
 // Configure changes what is allowed. What was counted stays, unless the window is
 // another.
 func (b *Budget) Configure(cfg Config) {
 	if cfg.Window != b.cfg.Window {
-		b.window = window{}
+		b.window = slidingWindow{}
 	}
 	b.cfg = cfg
 }
 
 // RecordRequest counts a request that is about to be sent for the first time.
 func (b *Budget) RecordRequest(now clock.Millis) {
-	b.window.at(b.cfg, now).requests++
-	b.bucket.fill(b.cfg, now, b.window.base(b.cfg))
-	b.bucket.request(b.cfg)
+	b.window.slotAt(b.cfg, now).requests++
+	b.bucket.refill(b.cfg, now, b.window.requestsPerWindow(b.cfg))
+	b.bucket.earn(b.cfg)
 	b.usage.Requests++
 }
 
 // Remaining returns how many repeats are allowed now.
 func (b *Budget) Remaining(now clock.Millis) float64 {
-	b.window.at(b.cfg, now)
-	base := b.window.base(b.cfg)
-	b.bucket.fill(b.cfg, now, base)
-	return min(b.bucket.tokens, share*b.cfg.Ratio*base+b.cfg.Extra-float64(b.window.repeats(b.cfg)))
+	b.window.slotAt(b.cfg, now)
+	base := b.window.requestsPerWindow(b.cfg)
+	b.bucket.refill(b.cfg, now, base)
+	return min(b.bucket.tokens, spendableShare*b.cfg.Ratio*base+b.cfg.Extra-float64(b.window.retries(b.cfg)))
 }
 
 // Spend takes one repeat, or reports that none is left.
@@ -93,7 +93,7 @@
 		b.usage.Denied++
 		return false
 	}
-	b.window.at(b.cfg, now).repeats++
+	b.window.slotAt(b.cfg, now).retries++
 	b.bucket.tokens--
 	b.usage.Spent++
 	return true
--- a/engines/budget/window.go
+++ b/engines/budget/window.go
@@ -8,33 +8,33 @@
 
 const (
 	// parts is how many parts a window is counted in.
-	parts = 20
+	windowSlots = 20
 	// slices is those of two windows and one more, so that what is counted is never less
 	// than that.
-	slices = 2*parts + 1
+	totalSlots = 2*windowSlots + 1
 )
 
 // window counts requests and repeats by the time of the process.
-type window struct {
+type slidingWindow struct {
 	// counts has the latest parts, latest is the number of the last of them.
-	counts [slices]count
+	slots  [totalSlots]slot
 	latest int64
 }
 
-type count struct{ requests, repeats int }
+type slot struct{ requests, retries int }
 
 // at returns the part in which now lies.
-func (w *window) at(cfg Config, now clock.Millis) *count {
-	n := cfg.part(now)
-	if n-w.latest >= slices {
-		w.counts = [slices]count{}
+func (w *slidingWindow) slotAt(cfg Config, now clock.Millis) *slot {
+	n := cfg.slotNumber(now)
+	if n-w.latest >= totalSlots {
+		w.slots = [totalSlots]slot{}
 	} else {
 		for i := w.latest + 1; i <= n; i++ {
-			w.counts[i%slices] = count{}
+			w.slots[i%totalSlots] = slot{}
 		}
 	}
 	w.latest = max(w.latest, n)
-	return &w.counts[w.latest%slices]
+	return &w.slots[w.latest%totalSlots]
 }
 
 // base estimates how many requests callers sent in a window. Requests may be read long
@@ -42,14 +42,14 @@
 // in a longer time. In a stretch that begins while none waits to be read, no more are read
 // than were sent. So base is the least mean of all stretches of one to two windows that end
 // now. None begins before the process did, since nothing waited for it.
-func (w *window) base(cfg Config) float64 {
-	life := w.latest - cfg.part(cfg.StartedAt)
+func (w *slidingWindow) requestsPerWindow(cfg Config) float64 {
+	life := w.latest - cfg.slotNumber(cfg.StartedAt)
 	n, least := 0, math.Inf(1)
-	for age := range 1 + max(parts, min(slices-1, life)) {
-		n += w.ago(age).requests
-		if age >= parts {
+	for age := range 1 + max(windowSlots, min(totalSlots-1, life)) {
+		n += w.slotBefore(age).requests
+		if age >= windowSlots {
 			// The latest part has only begun. Taken for a whole one it makes the mean no greater.
-			least = min(least, float64(n*parts)/float64(age+1))
+			least = min(least, float64(n*windowSlots)/float64(age+1))
 		}
 	}
 	return least
@@ -57,21 +57,21 @@
 
 // repeats returns how many were taken within a window and the lag: the next may arrive in
 // one window with all of them.
-func (w *window) repeats(cfg Config) int {
+func (w *slidingWindow) retries(cfg Config) int {
 	n := 0
-	for age := range min(slices, parts+1+cfg.part(cfg.Lag+cfg.partTime()-1)) {
-		n += w.ago(age).repeats
+	for age := range min(totalSlots, windowSlots+1+cfg.slotNumber(cfg.Lag+cfg.slotLength()-1)) {
+		n += w.slotBefore(age).retries
 	}
 	return n
 }
 
 // ago returns the part of so many parts ago.
-func (w *window) ago(age int64) count {
-	return w.counts[((w.latest-age)%slices+slices)%slices]
+func (w *slidingWindow) slotBefore(age int64) slot {
+	return w.slots[((w.latest-age)%totalSlots+totalSlots)%totalSlots]
 }
 
 // partTime returns the length of a part.
-func (c Config) partTime() clock.Millis { return max(1, c.Window/parts) }
+func (c Config) slotLength() clock.Millis { return max(1, c.Window/windowSlots) }
 
 // part returns the number of the part in which a time lies.
-func (c Config) part(t clock.Millis) int64 { return int64(t / c.partTime()) }
+func (c Config) slotNumber(t clock.Millis) int64 { return int64(t / c.slotLength()) }
--- a/engines/duration/duration.go
+++ b/engines/duration/duration.go
@@ -23,30 +23,30 @@
 	RunEvents = 8
 	// leastRuns is how many runs must have been seen of a service before its
 	// usual pace is known.
-	leastRuns = 4
+	minTypicalRuns = 4
 	// boundRuns is how many must have been seen before the pace of a bound is:
 	// those of several streams. By the runs of one, which may come from a fast
 	// engine, 3 of 90 drawn answers lasted longer.
-	boundRuns = 32
+	minBoundRuns = 32
 	// slowRuns is the part of all runs that the pace of a bound covers. An answer
 	// of full length has ten runs and more, which are not all slow: of 13,000
 	// streams of four deployments 15 took longer than this pace and the longest
 	// first event make, 4 of them among the longest route's.
-	slowRuns = 0.9
+	boundQuantile = 0.9
 	// firstGoals is what the first event may take in goals of the route, or, if
 	// that is longer, firstShare of the longest seen.
-	firstGoals = 2
-	firstShare = 1.5
+	firstEventGoals  = 2
+	firstEventFactor = 1.5
 	// plainShare and plainMargin allow for a plain answer that takes longer than
 	// the longest seen.
-	plainShare               = 1.25
+	plainFactor              = 1.25
 	plainMargin clock.Millis = 300
 	// DefaultTimeout is for how long any request is held whose route publishes no
 	// timeout.
 	DefaultTimeout clock.Millis = 600_000
 	// routesMost and servicesMost bound what is remembered: 4 KB each.
-	routesMost   = 256
-	servicesMost = 64
+	maxRoutes   = 256
+	maxServices = 64
 )
 
 // Basis says what an estimate rests on.
@@ -87,60 +87,60 @@
 // Estimator remembers how long answers took. It is safe for concurrent use.
 type Estimator struct {
 	mu       sync.Mutex
-	routes   map[string]*route
-	services map[string]*pace
+	routes   map[string]*routeStats
+	services map[string]*paceStats
 }
 
 // pace is what was seen of the pace of events.
-type pace struct {
-	runs latest
+type paceStats struct {
+	runs samples
 	// rest is how many events, in restTook, came at the ends of streams, after
 	// their last runs. They make a run once there are enough.
-	rest     int
-	restTook clock.Millis
+	tailEvents int
+	tailTime   clock.Millis
 }
 
 // end takes the events after the last run of a stream.
-func (p *pace) end(events int, took clock.Millis) {
-	p.rest += events
-	p.restTook += took
-	if p.rest >= RunEvents {
-		p.runs.add(RunEvents * p.restTook / clock.Millis(p.rest))
-		p.rest, p.restTook = 0, 0
+func (p *paceStats) addTail(events int, took clock.Millis) {
+	p.tailEvents += events
+	p.tailTime += took
+	if p.tailEvents >= RunEvents {
+		p.runs.add(RunEvents * p.tailTime / clock.Millis(p.tailEvents))
+		p.tailEvents, p.tailTime = 0, 0
 	}
 }
 
 // slower returns what the given part of the runs keep at each of two paces, the
 // longer of the two. A pace of which too little is known does not count.
-func (p *pace) slower(o *pace, part float64) clock.Millis {
+func (p *paceStats) slowerQuantile(o *paceStats, part float64) clock.Millis {
 	took := p.runs.quantile(part)
-	if o.runs.n >= leastRuns {
+	if o.runs.n >= minTypicalRuns {
 		took = max(took, o.runs.quantile(part))
 	}
 	return took
 }
 
 // route is what was seen of one route.
-type route struct {
-	pace
-	firsts latest
+type routeStats struct {
+	paceStats
+	firstEvents samples
 	// wholes are whole answers, from the request to their end.
-	wholes latest
+	responses samples
 	// long is true once a plain answer was too long to be held until it is whole.
-	long bool
+	passThrough bool
 }
 
 // NewEstimator returns Answers that have seen nothing.
 func NewEstimator() *Estimator {
-	return &Estimator{routes: map[string]*route{}, services: map[string]*pace{}}
+	return &Estimator{routes: map[string]*routeStats{}, services: map[string]*paceStats{}}
 }
 
 // RecordFirstEvent records the time until the first event of a stream.
 func (a *Estimator) RecordFirstEvent(name string, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if r := a.route(name); r != nil {
-		r.firsts.add(took)
+	if r := a.routeStats(name); r != nil {
+		r.firstEvents.add(took)
 	}
 }
 
@@ -154,17 +154,17 @@
 	case seen == nil:
 		return 0
 	case r.Kind == table.Stream:
-		return seen.firsts.longest()
+		return seen.firstEvents.longest()
 	}
-	return seen.wholes.longest()
+	return seen.responses.longest()
 }
 
 // RecordResponse records the time of a whole answer.
 func (a *Estimator) RecordResponse(name string, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if r := a.route(name); r != nil {
-		r.wholes.add(took)
+	if r := a.routeStats(name); r != nil {
+		r.responses.add(took)
 	}
 }
 
@@ -174,8 +174,8 @@
 func (a *Estimator) RecordPassThrough(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if r := a.route(name); r != nil {
-		r.long = true
+	if r := a.routeStats(name); r != nil {
+		r.passThrough = true
 	}
 }
 
@@ -185,7 +185,7 @@
 func (a *Estimator) RecordRun(name, service string, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, p := range a.paces(name, service) {
+	for _, p := range a.paceStats(name, service) {
 		p.runs.add(took)
 	}
 }
@@ -196,35 +196,35 @@
 func (a *Estimator) RecordTail(name, service string, events int, took clock.Millis) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, p := range a.paces(name, service) {
-		p.end(events, took)
+	for _, p := range a.paceStats(name, service) {
+		p.addTail(events, took)
 	}
 }
 
 // paces returns what is known of the pace of a service and of a route, without
 // those of which no more can be remembered. The caller holds mu.
-func (a *Estimator) paces(name, service string) []*pace {
-	var out []*pace
+func (a *Estimator) paceStats(name, service string) []*paceStats {
+	var out []*paceStats
 	s := a.services[service]
-	if s == nil && len(a.services) < servicesMost {
-		s = &pace{}
+	if s == nil && len(a.services) < maxServices {
+		s = &paceStats{}
 		a.services[service] = s
 	}
 	if s != nil {
 		out = append(out, s)
 	}
-	if r := a.route(name); r != nil {
-		out = append(out, &r.pace)
+	if r := a.routeStats(name); r != nil {
+		out = append(out, &r.paceStats)
 	}
 	return out
 }
 
 // route returns what is known of a route, nil if no more can be remembered.
 // The caller holds mu.
-func (a *Estimator) route(name string) *route {
+func (a *Estimator) routeStats(name string) *routeStats {
 	r := a.routes[name]
-	if r == nil && len(a.routes) < routesMost {
-		r = &route{}
+	if r == nil && len(a.routes) < maxRoutes {
+		r = &routeStats{}
 		a.routes[name] = r
 	}
 	return r
@@ -236,80 +236,80 @@
 	defer a.mu.Unlock()
 	seen := a.routes[req.Route.Name]
 	if seen == nil {
-		seen = &route{}
+		seen = &routeStats{}
 	}
 	if req.Route.Kind != table.Stream {
-		return plain(req.Route, seen)
+		return plainEstimate(req.Route, seen)
 	}
 	s := a.services[req.Service]
-	if req.MaxEvents == 0 || s == nil || s.runs.n < leastRuns {
-		return unknown(req.Route)
+	if req.MaxEvents == 0 || s == nil || s.runs.n < minTypicalRuns {
+		return timeoutEstimate(req.Route)
 	}
-	return stream(req, seen, s)
+	return streamEstimate(req, seen, s)
 }
 
 // held is for how long a request of a route is held.
-func held(r *table.Route) clock.Millis { return cmp.Or(r.Timeout, DefaultTimeout) }
+func timeoutOf(r *table.Route) clock.Millis { return cmp.Or(r.Timeout, DefaultTimeout) }
 
 // unknown is the estimate where nothing better than that is known.
-func unknown(r *table.Route) Estimate {
-	return Estimate{Max: held(r), Typical: held(r), Basis: BasisTimeout}
+func timeoutEstimate(r *table.Route) Estimate {
+	return Estimate{Max: timeoutOf(r), Typical: timeoutOf(r), Basis: BasisTimeout}
 }
 
-func plain(r *table.Route, seen *route) Estimate {
-	if seen.wholes.n == 0 || seen.long {
-		return unknown(r)
+func plainEstimate(r *table.Route, seen *routeStats) Estimate {
+	if seen.responses.n == 0 || seen.passThrough {
+		return timeoutEstimate(r)
 	}
-	most := min(held(r), clock.Millis(plainShare*float64(seen.wholes.longest()))+plainMargin)
-	return Estimate{Max: most, Typical: most, Basis: BasisObserved, Samples: seen.wholes.n}
+	most := min(timeoutOf(r), clock.Millis(plainFactor*float64(seen.responses.longest()))+plainMargin)
+	return Estimate{Max: most, Typical: most, Basis: BasisObserved, Samples: seen.responses.n}
 }
 
 // stream estimates a stream whose length is known. Its pace is that of the
 // service, of which more is known, or that of its route if that is slower.
-func stream(req Request, seen *route, s *pace) Estimate {
+func streamEstimate(req Request, seen *routeStats, s *paceStats) Estimate {
 	goal := req.Route.GoalOrUsual()
-	first := max(firstGoals*goal, clock.Millis(firstShare*float64(seen.firsts.longest())))
-	usual := min(held(req.Route), goal+events(req.MaxEvents, s.slower(&seen.pace, 0.5)))
-	if s.runs.n < boundRuns {
-		return Estimate{Max: held(req.Route), Typical: usual, Basis: BasisTimeout, Samples: s.runs.n}
+	first := max(firstEventGoals*goal, clock.Millis(firstEventFactor*float64(seen.firstEvents.longest())))
+	usual := min(timeoutOf(req.Route), goal+eventsTime(req.MaxEvents, s.slowerQuantile(&seen.paceStats, 0.5)))
+	if s.runs.n < minBoundRuns {
+		return Estimate{Max: timeoutOf(req.Route), Typical: usual, Basis: BasisTimeout, Samples: s.runs.n}
 	}
-	most := min(held(req.Route), max(first+events(req.MaxEvents, s.slower(&seen.pace, slowRuns))+req.Route.PauseGoal, seen.wholes.longest()))
+	most := min(timeoutOf(req.Route), max(first+eventsTime(req.MaxEvents, s.slowerQuantile(&seen.paceStats, boundQuantile))+req.Route.PauseGoal, seen.responses.longest()))
 	return Estimate{Max: most, Typical: min(usual, most), Basis: BasisEvents, Samples: s.runs.n}
 }
 
 // events is how long n events take where a run takes so long.
-func events(n int, run clock.Millis) clock.Millis {
+func eventsTime(n int, run clock.Millis) clock.Millis {
 	return clock.Millis(math.Ceil(float64(n) * float64(run) / RunEvents))
 }
 
 // latestMost is how many measurements are remembered of each kind: a few
 // seconds' worth where much is going on.
-const latestMost = 256
+const maxSamples = 256
 
 // latest holds the latest measurements.
-type latest struct {
-	took [latestMost]int32
+type samples struct {
+	values [maxSamples]int32
 	// n is how many are held, next where the next goes.
 	n, next int
 }
 
-func (l *latest) add(took clock.Millis) {
-	l.took[l.next] = int32(min(took, math.MaxInt32))
-	l.next = (l.next + 1) % latestMost
-	l.n = min(latestMost, l.n+1)
+func (l *samples) add(took clock.Millis) {
+	l.values[l.next] = int32(min(took, math.MaxInt32))
+	l.next = (l.next + 1) % maxSamples
+	l.n = min(maxSamples, l.n+1)
 }
 
-func (l *latest) longest() clock.Millis {
+func (l *samples) longest() clock.Millis {
 	if l.n == 0 {
 		return 0
 	}
-	return clock.Millis(slices.Max(l.took[:l.n]))
+	return clock.Millis(slices.Max(l.values[:l.n]))
 }
 
 // quantile returns the value that the given part of the measurements does not
 // exceed. There must be one.
-func (l *latest) quantile(part float64) clock.Millis {
-	sorted := slices.Clone(l.took[:l.n])
+func (l *samples) quantile(part float64) clock.Millis {
+	sorted := slices.Clone(l.values[:l.n])
 	slices.Sort(sorted)
 	return clock.Millis(sorted[min(l.n-1, int(part*float64(l.n)))])
 }
--- a/engines/quarantine/gossip/gossip.go
+++ b/engines/quarantine/gossip/gossip.go
@@ -18,19 +18,19 @@
 const (
 	// fanOut is how many others are told of news at once: all but one in twenty know it
 	// after as many steps as the logarithm of the fleet, some ten milliseconds each.
-	fanOut = 3
+	fanout = 3
 	// newsRate and newsBurst bound what news may take of a process's talk, in bytes a
 	// second and at once: a third of the 5 KB/s that are for all talk.
-	newsRate  = 1700
-	newsBurst = 8 << 10
+	updateRate  = 1700
+	updateBurst = 8 << 10
 	// newsHead is what a message of news has beside the suspects, in bytes.
-	newsHead = 64
+	updateOverhead = 64
 	// MaxRequestSuspects and Told are how many suspects a question and an answer tell where both ends
 	// do not know the same.
 	MaxRequestSuspects  = 4
 	MaxResponseSuspects = 16
 	// compareLimit bounds a question.
-	compareLimit clock.Millis = 1000
+	compareTimeout clock.Millis = 1000
 )
 
 // Methods of the messages.
@@ -92,7 +92,7 @@
 // Run tells others of news at once, until ctx is done. It keeps to newsRate; what is not
 // told then waits.
 func (g *Gossip) Run(ctx context.Context) {
-	talk := rate.NewLimiter(newsRate, newsBurst)
+	talk := rate.NewLimiter(updateRate, updateBurst)
 	for {
 		select {
 		case <-ctx.Done():
@@ -100,12 +100,12 @@
 		case <-g.cfg.Source.SuspectsPending():
 		}
 		for text := g.cfg.Source.TakeSuspects(); text != ""; text = g.cfg.Source.TakeSuspects() {
-			for _, addr := range g.cfg.RandomPeers(fanOut) {
+			for _, addr := range g.cfg.RandomPeers(fanout) {
 				// The only error is that of ctx, and then nobody is told.
-				if talk.WaitN(ctx, min(newsBurst, len(text)+newsHead)) != nil {
+				if talk.WaitN(ctx, min(updateBurst, len(text)+updateOverhead)) != nil {
 					return
 				}
-				go g.tell(addr, text)
+				go g.send(addr, text)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 
 // tell sends news to another entry. Who cannot be reached hears of it from others, or by
 // its next question.
-func (g *Gossip) tell(addr, text string) {
+func (g *Gossip) send(addr, text string) {
 	c, err := g.cfg.Links.Get(addr, link.Control)
 	if err == nil {
 		err = c.Notify(MethodTell, Update{From: g.cfg.ID, Suspects: text})
@@ -144,7 +144,7 @@
 }
 
 func (g *Gossip) compare(ctx context.Context, s Summarizer, addr string) {
-	ctx, cancel := context.WithTimeout(ctx, compareLimit.Duration())
+	ctx, cancel := context.WithTimeout(ctx, compareTimeout.Duration())
 	defer cancel()
 	c, err := g.cfg.Links.Get(addr, link.Control)
 	if err != nil {
--- a/engines/quarantine/news.go
+++ b/engines/quarantine/news.go
@@ -17,12 +17,12 @@
 	MaxReports = 32
 	// newsBytes bounds what is taken of one, in bytes before it is encoded as text:
 	// NewsMost requests with all that is told of them.
-	newsBytes = 4096
+	maxPackedBytes = 4096
 	// correctEvery is how often others are told again of a run that they seem not to
 	// know: some rounds of questions.
-	correctEvery clock.Millis = 1000
+	correctionInterval clock.Millis = 1000
 	// outboxMost bounds the requests that wait to be told of.
-	outboxMost = 256
+	maxOutbox = 256
 )
 
 // Report is what entries tell each other of one request. All times are ages.
@@ -67,10 +67,10 @@
 
 // flags of a packed item.
 const (
-	hasWell  = 0x40
-	hasTrial = 0x80
-	hasDark  = 0x10
-	endsMask = 0x0f
+	flagSuccess      = 0x40
+	flagTrial        = 0x80
+	flagUnresponsive = 0x10
+	crashCountMask   = 0x0f
 )
 
 // Pack returns news as text, "" if there are none. A request with one strike has 28
@@ -88,14 +88,14 @@
 	b = binary.BigEndian.AppendUint32(b, it.Fingerprint)
 	flags := byte(len(it.Crashes))
 	if it.Success != nil {
-		flags |= hasWell
+		flags |= flagSuccess
 	}
 	if it.Trial != nil {
-		flags |= hasTrial
+		flags |= flagTrial
 	}
-	dark := it.darkBits()
+	dark := it.unresponsiveBits()
 	if dark != 0 {
-		flags |= hasDark
+		flags |= flagUnresponsive
 	}
 	b = append(b, flags)
 	for _, e := range it.Crashes {
@@ -120,7 +120,7 @@
 
 // darkBits has a bit for each end that is known by a dark engine alone, the lowest for the
 // first.
-func (it Report) darkBits() byte {
+func (it Report) unresponsiveBits() byte {
 	var bits byte
 	for i, e := range it.Crashes {
 		if e.Unresponsive {
@@ -143,7 +143,7 @@
 // Unpack reads what Pack wrote. All of a text that makes no sense is dropped, with an
 // error that wraps ErrBadNews.
 func Unpack(text string) (Reports, error) {
-	if most := base64.RawStdEncoding.EncodedLen(newsBytes); len(text) > most {
+	if most := base64.RawStdEncoding.EncodedLen(maxPackedBytes); len(text) > most {
 		return nil, fmt.Errorf("%w: %d bytes, at most %d are taken", ErrInvalidReports, len(text), most)
 	}
 	b, err := base64.RawStdEncoding.DecodeString(text)
@@ -153,7 +153,7 @@
 	p := parser{b: b}
 	var out Reports
 	for len(p.b) > 0 {
-		out = append(out, p.item())
+		out = append(out, p.report())
 	}
 	if p.err != nil {
 		return nil, fmt.Errorf("%w: item %d: %w", ErrInvalidReports, len(out), p.err)
@@ -168,11 +168,11 @@
 }
 
 var (
-	errShort    = errors.New("it breaks off")
-	errTooMany  = errors.New("it has more ends than are told, or what is not known here")
-	errTooOld   = errors.New("a time is out of its bounds")
-	errNoEnd    = errors.New("an engine is dark of which no end is told")
-	errNoNumber = errors.New("a number is zero that never is")
+	errTruncated   = errors.New("it breaks off")
+	errBadFlags    = errors.New("it has more ends than are told, or what is not known here")
+	errTimeRange   = errors.New("a time is out of its bounds")
+	errNoSuchCrash = errors.New("an engine is dark of which no end is told")
+	errZeroID      = errors.New("a number is zero that never is")
 )
 
 func (p *parser) fail(err error) {
@@ -184,7 +184,7 @@
 
 func (p *parser) bytes(n int) []byte {
 	if len(p.b) < n {
-		p.fail(errShort)
+		p.fail(errTruncated)
 		return make([]byte, n)
 	}
 	out := p.b[:n]
@@ -198,7 +198,7 @@
 func (p *parser) id() uint32 {
 	n := p.uint32()
 	if n == 0 {
-		p.fail(errNoNumber)
+		p.fail(errZeroID)
 	}
 	return n
 }
@@ -210,22 +210,22 @@
 	case p.err != nil:
 		return 0
 	case n <= 0:
-		p.fail(errShort)
+		p.fail(errTruncated)
 		return 0
 	case v > uint64(most):
-		p.fail(errTooOld)
+		p.fail(errTimeRange)
 		return 0
 	}
 	p.b = p.b[n:]
 	return clock.Millis(v)
 }
 
-func (p *parser) item() Report {
+func (p *parser) report() Report {
 	it := Report{Digest: Digest(p.bytes(len(Digest{}))), Fingerprint: p.uint32()}
 	flags := p.bytes(1)[0]
-	ends := int(flags & endsMask)
-	if ends > endsMost || flags&^(hasWell|hasTrial|hasDark|endsMask) != 0 {
-		p.fail(errTooMany)
+	ends := int(flags & crashCountMask)
+	if ends > maxCrashes || flags&^(flagSuccess|flagTrial|flagUnresponsive|crashCountMask) != 0 {
+		p.fail(errBadFlags)
 		return it
 	}
 	for range ends {
@@ -234,35 +234,35 @@
 		e.Age, e.Trial = age>>1, age&1 == 1
 		it.Crashes = append(it.Crashes, e)
 	}
-	if flags&hasDark != 0 {
+	if flags&flagUnresponsive != 0 {
 		dark := p.bytes(1)[0]
 		if dark == 0 || int(dark)>>ends != 0 {
-			p.fail(errNoEnd)
+			p.fail(errNoSuchCrash)
 		}
 		for i := range it.Crashes {
 			it.Crashes[i].Unresponsive = dark&(1<<i) != 0
 		}
 	}
-	if flags&hasWell != 0 {
+	if flags&flagSuccess != 0 {
 		it.Success = &ReportedSuccess{ID: p.id(), Age: p.millis(2 * Retention)}
 	}
-	if flags&hasTrial != 0 {
+	if flags&flagTrial != 0 {
 		it.Trial = &ReportedTrial{ID: p.id(), Incarnation: p.uint32(), Remaining: p.millis(TrialTimeout)}
 	}
 	return it
 }
 
 // itemOf is what is told of a request.
-func (r *record) itemOf(now clock.Millis) Report {
-	it := Report{Digest: r.digest, Fingerprint: r.shape}
-	for _, e := range r.ends {
-		it.Crashes = append(it.Crashes, ReportedCrash{ID: e.id, Incarnation: e.life, Age: now - e.at, Trial: e.trial, Unresponsive: e.dark})
+func (r *record) report(now clock.Millis) Report {
+	it := Report{Digest: r.digest, Fingerprint: r.fingerprint}
+	for _, e := range r.crashes {
+		it.Crashes = append(it.Crashes, ReportedCrash{ID: e.id, Incarnation: e.incarnation, Age: now - e.at, Trial: e.trial, Unresponsive: e.unresponsive})
 	}
-	if r.well.id != 0 {
-		it.Success = &ReportedSuccess{ID: r.well.id, Age: now - r.well.at}
+	if r.success.id != 0 {
+		it.Success = &ReportedSuccess{ID: r.success.id, Age: now - r.success.at}
 	}
-	if r.trial.id != 0 && now-r.trial.until < TrialTimeout {
-		it.Trial = &ReportedTrial{ID: r.trial.id, Incarnation: r.trial.life, Remaining: max(0, r.trial.until-now)}
+	if r.trial.id != 0 && now-r.trial.deadline < TrialTimeout {
+		it.Trial = &ReportedTrial{ID: r.trial.id, Incarnation: r.trial.incarnation, Remaining: max(0, r.trial.deadline-now)}
 	}
 	return it
 }
@@ -274,38 +274,38 @@
 	r := l.get(it.Digest)
 	known := r != nil
 	if !known {
-		r = &record{digest: it.Digest, shape: it.Fingerprint, usedAt: now}
+		r = &record{digest: it.Digest, fingerprint: it.Fingerprint, usedAt: now}
 	}
 	news := false
 	if it.Success != nil {
-		news = r.ranWell(well{id: it.Success.ID, at: now - it.Success.Age})
+		news = r.addSuccess(success{id: it.Success.ID, at: now - it.Success.Age})
 	}
 	stale := false
 	for _, e := range it.Crashes {
 		at := now - e.Age
-		if r.well.id != 0 && at <= r.well.at {
+		if r.success.id != 0 && at <= r.success.at {
 			stale = true
 			continue
 		}
-		l.noteEnd(e.Incarnation, at)
-		news = r.add(end{id: e.ID, life: e.Incarnation, at: at, trial: e.Trial, dark: e.Unresponsive, confirmed: !e.Unresponsive && lost(e.Incarnation)}) || news
+		l.noteCrash(e.Incarnation, at)
+		news = r.addCrash(crash{id: e.ID, incarnation: e.Incarnation, at: at, trial: e.Trial, unresponsive: e.Unresponsive, confirmed: !e.Unresponsive && lost(e.Incarnation)}) || news
 	}
 	if it.Trial != nil {
-		news = r.tried(trial{id: it.Trial.ID, life: it.Trial.Incarnation, until: now + it.Trial.Remaining}, now) || news
+		news = r.mergeTrial(trial{id: it.Trial.ID, incarnation: it.Trial.Incarnation, deadline: now + it.Trial.Remaining}, now) || news
 	}
 	if !known && r.strikes() == 0 {
 		return false
 	}
 	if news {
-		l.use(r, now)
+		l.touch(r, now)
 	}
 	l.put(r)
-	if stale = stale && now-r.correctedAt > correctEvery; stale {
+	if stale = stale && now-r.correctedAt > correctionInterval; stale {
 		r.correctedAt = now
 	}
 	if news || stale {
 		// Who tells of ends that a later run took back has yet to hear of that run.
-		l.news.add(r.digest, l.isSuspect(r, now) || r.well.id != 0)
+		l.outbox.add(r.digest, l.isSuspect(r, now) || r.success.id != 0)
 	}
 	return news
 }
@@ -313,9 +313,9 @@
 // TakePending returns news for others, at most n requests, the urgent ones first.
 func (l *List) TakePending(n int, now clock.Millis) Reports {
 	var out Reports
-	for _, d := range l.news.take(n) {
+	for _, d := range l.outbox.take(n) {
 		if r := l.get(d); r != nil {
-			out = append(out, r.itemOf(now))
+			out = append(out, r.report(now))
 		}
 	}
 	return out
@@ -323,23 +323,23 @@
 
 // BroadcastSuspects has others told of all suspects.
 func (l *List) BroadcastSuspects() {
-	for _, r := range l.suspected() {
-		l.news.add(r.digest, true)
+	for _, r := range l.sharedRecords() {
+		l.outbox.add(r.digest, true)
 	}
 }
 
 // HasPending reports whether there are news for others.
-func (l *List) HasPending() bool { return l.news.len() > 0 }
+func (l *List) HasPending() bool { return l.outbox.len() > 0 }
 
 // Checksum stands for all suspects and their trials: two entries that know the same have the
 // same. It is zero if there are none.
 func (l *List) Checksum(now clock.Millis) uint64 {
 	var sum uint64
-	for _, r := range l.suspected() {
+	for _, r := range l.sharedRecords() {
 		var b []byte
 		b = append(b, r.digest[:]...)
-		b = append(b, byte(min(r.strikes(), SuspectStrikes+failedMost)))
-		if r.trial.life != 0 && r.trial.underWay(now) {
+		b = append(b, byte(min(r.strikes(), SuspectStrikes+minFailures)))
+		if r.trial.incarnation != 0 && r.trial.isRunning(now) {
 			b = binary.BigEndian.AppendUint32(b, r.trial.id)
 		}
 		sum ^= xxh3.Hash(b)
@@ -348,25 +348,25 @@
 }
 
 // suspected are the records with so many strikes that all should know them.
-func (l *List) suspected() []*record {
-	return append(l.held.Values(), l.told.Values()...)
+func (l *List) sharedRecords() []*record {
+	return append(l.confirmed.Values(), l.unconfirmed.Values()...)
 }
 
 // Sample returns some of the suspects, others each time.
 func (l *List) Sample(n int, now clock.Millis) Reports {
-	in := l.suspected()
+	in := l.sharedRecords()
 	var out Reports
 	for range min(n, len(in)) {
-		l.next = (l.next + 1) % len(in)
-		out = append(out, in[l.next].itemOf(now))
+		l.nextSample = (l.nextSample + 1) % len(in)
+		out = append(out, in[l.nextSample].report(now))
 	}
 	return out
 }
 
 // outbox are the requests of which others are to be told.
-type outbox struct{ urgent, usual []Digest }
+type outbox struct{ urgent, normal []Digest }
 
-func (o *outbox) len() int { return len(o.urgent) + len(o.usual) }
+func (o *outbox) len() int { return len(o.urgent) + len(o.normal) }
 
 // add enters a request. The oldest usual ones give way to newer ones, and usual ones
 // to urgent ones.
@@ -374,22 +374,22 @@
 	if slices.Contains(o.urgent, d) {
 		return
 	}
-	at := slices.Index(o.usual, d)
+	at := slices.Index(o.normal, d)
 	switch {
 	case at >= 0 && !urgent:
 		return
 	case at >= 0:
-		o.usual = slices.Delete(o.usual, at, at+1)
+		o.normal = slices.Delete(o.normal, at, at+1)
 	}
 	if urgent {
 		o.urgent = append(o.urgent, d)
 	} else {
-		o.usual = append(o.usual, d)
+		o.normal = append(o.normal, d)
 	}
 	switch {
-	case o.len() <= outboxMost:
-	case len(o.usual) > 0:
-		o.usual = o.usual[1:]
+	case o.len() <= maxOutbox:
+	case len(o.normal) > 0:
+		o.normal = o.normal[1:]
 	default:
 		o.urgent = o.urgent[1:]
 	}
@@ -397,7 +397,7 @@
 
 func (o *outbox) take(n int) []Digest {
 	var out []Digest
-	for _, from := range []*[]Digest{&o.urgent, &o.usual} {
+	for _, from := range []*[]Digest{&o.urgent, &o.normal} {
 		k := min(n-len(out), len(*from))
 		out = append(out, (*from)[:k]...)
 		*from = (*from)[k:]
