--- a/engines/budget/budget.go
+++ b/engines/budget/budget.go
@@ -1,15 +1,17 @@
-// Package budget bounds what a process sends beyond the first time of each
-// request, so that retries of the whole fleet stay within a share of its
-// requests. Each process keeps to a ratio of its own requests; since the ratio
-// holds for each, it holds for the sum, and no process needs to know the others.
+// Package budget limits retries, so that those of the whole fleet stay within a
+// share of its requests. Each process keeps to a ratio of its own requests.
+// Since the ratio holds for each process, it holds for the sum, and no process
+// needs to know the others.
 //
-// The bound is one of arrivals in a window, against what callers sent. A process
-// knows when it read a request and when it decided to repeat one, and nothing of
-// the process that ran before it. So what it may repeat is counted in two ways,
-// and the lesser is what is left: by window, whatever was read late, and from a
-// bucket that holds little, so that a process that ends has not spent much ahead.
+// The limit applies to the retries that arrive in a window, relative to the
+// requests that clients sent in it. A process only knows when it read a request
+// and when it decided to retry one, and nothing of the process that ran before
+// it. So the allowed retries are counted in two ways, and the smaller result
+// applies: a sliding window accounts for requests that are read late, and a small
+// token bucket limits what a process can have spent ahead when it terminates.
 //
-// It is pure: the time is handed in, and callers lock.
+// The package reads no clock and does no locking; callers pass the time and
+// synchronize access.
 package budget
 
 import (
@@ -18,26 +20,25 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// share is the part of the ratio that may be spent in a window, by a process and by those that
-// follow it. The rest is a margin for what no process sees.
+// spendableShare is the share of the ratio that a process and its successors may spend in a
+// window. The rest is a margin for what no process can observe.
 const spendableShare = 0.8
 
-// Config sets up a Budget.
+// Config configures a Budget.
 type Config struct {
-	// Ratio is how many repeats are allowed for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Window is the time over which both are counted.
+	// Window is the time over which requests and retries are counted.
 	Window clock.Millis
-	// Extra is how many repeats this process may add to the ratio in a window.
+	// Extra is the number of retries that this process may add in a window, beyond the ratio.
 	Extra float64
-	// Lag is how long after it was taken a repeat may still arrive. More than a window
-	// counts as a window.
+	// Lag is the longest time from spending a retry to its arrival. It is capped at Window.
 	Lag clock.Millis
-	// StartedAt is when this process began to take requests.
+	// StartedAt is the time at which this process began to accept requests.
 	StartedAt clock.Millis
 }
 
-// Budget counts the requests and the repeats of one service.
+// Budget counts the requests and the retries of one service.
 type Budget struct {
 	cfg    Config
 	window slidingWindow
@@ -45,23 +46,22 @@
 	usage  Usage
 }
 
-// Usage is what a budget counted since it was made.
+// Usage holds the counts of a budget since it was created.
 type Usage struct {
-	// Requests is how many requests were counted, Spent how many repeats were taken, and
-	// Denied how many more were asked for.
+	// Requests counts requests, Spent the retries that were taken, and Denied the retries that
+	// were refused.
 	Requests, Spent, Denied uint64
-	// MinRemaining is the least that was left when a repeat was asked for, since the call of
-	// Usage before; it is what is left now if none was.
+	// MinRemaining is the lowest remaining budget when a retry was requested since the previous
+	// call of Usage, or the current remaining budget if that is lower.
 	MinRemaining float64
 }
 
-// New returns a budget that has counted nothing.
+// New returns a budget without any counted requests or retries.
 func New(cfg Config) *Budget {
 	return &Budget{cfg: cfg, bucket: newTokenBucket(cfg), usage: Usage{MinRemaining: math.Inf(1)}}
 }
 
-// Configure changes what is allowed. What was counted stays, unless the window is
-// another.
+// Configure replaces the configuration. Counts are kept unless the window changes.
 func (b *Budget) Configure(cfg Config) {
 	if cfg.Window != b.cfg.Window {
 		b.window = slidingWindow{}
@@ -77,19 +77,19 @@
 	b.usage.Requests++
 }
 
-// Remaining returns how many repeats are allowed now.
+// Remaining returns how many retries are allowed now.
 func (b *Budget) Remaining(now clock.Millis) float64 {
 	b.window.slotAt(b.cfg, now)
-	base := b.window.requestsPerWindow(b.cfg)
-	b.bucket.refill(b.cfg, now, base)
-	return min(b.bucket.tokens, spendableShare*b.cfg.Ratio*base+b.cfg.Extra-float64(b.window.retries(b.cfg)))
+	perWindow := b.window.requestsPerWindow(b.cfg)
+	b.bucket.refill(b.cfg, now, perWindow)
+	return min(b.bucket.tokens, spendableShare*b.cfg.Ratio*perWindow+b.cfg.Extra-float64(b.window.retries(b.cfg)))
 }
 
-// Spend takes one repeat, or reports that none is left.
+// Spend takes one retry from the budget. It returns false if none remains.
 func (b *Budget) Spend(now clock.Millis) bool {
-	left := b.Remaining(now)
-	b.usage.MinRemaining = min(b.usage.MinRemaining, left)
-	if left < 1 {
+	remaining := b.Remaining(now)
+	b.usage.MinRemaining = min(b.usage.MinRemaining, remaining)
+	if remaining < 1 {
 		b.usage.Denied++
 		return false
 	}
@@ -99,7 +99,7 @@
 	return true
 }
 
-// Usage returns what was counted.
+// Usage returns the counts and resets MinRemaining.
 func (b *Budget) Usage(now clock.Millis) Usage {
 	u := b.usage
 	u.MinRemaining = min(u.MinRemaining, b.Remaining(now))
--- a/engines/budget/window.go
+++ b/engines/budget/window.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// parts is how many parts a window is counted in.
+	// windowSlots is the number of slots of a window.
 	windowSlots = 20
-	// slices is those of two windows and one more, so that what is counted is never less
-	// than that.
+	// totalSlots covers two windows and the slot that is being filled, so that the counted
+	// time is never shorter than two windows.
 	totalSlots = 2*windowSlots + 1
 )
 
-// window counts requests and repeats by the time of the process.
+// slidingWindow counts requests and retries by the clock of the process.
 type slidingWindow struct {
-	// counts has the latest parts, latest is the number of the last of them.
-	slots  [totalSlots]slot
+	// slots is a ring of the latest slots, indexed by slot number.
+	slots [totalSlots]slot
+	// latest is the number of the newest slot.
 	latest int64
 }
 
 type slot struct{ requests, retries int }
 
-// at returns the part in which now lies.
+// slotAt returns the slot that contains now.
 func (w *slidingWindow) slotAt(cfg Config, now clock.Millis) *slot {
 	n := cfg.slotNumber(now)
 	if n-w.latest >= totalSlots {
@@ -37,26 +38,27 @@
 	return &w.slots[w.latest%totalSlots]
 }
 
-// base estimates how many requests callers sent in a window. Requests may be read long
-// after they were sent, and then many at once, so that those read in one window were sent
-// in a longer time. In a stretch that begins while none waits to be read, no more are read
-// than were sent. So base is the least mean of all stretches of one to two windows that end
-// now. None begins before the process did, since nothing waited for it.
+// requestsPerWindow estimates how many requests clients sent in a window. A process may read
+// requests long after they were sent, and many at once, so the requests read in one window
+// may have been sent over a longer time. A period that begins with no request waiting to be
+// read cannot contain more reads than sends. The estimate is therefore the lowest mean over
+// all periods of one to two windows that end now. No period begins before the process
+// started, since no requests waited for it then.
 func (w *slidingWindow) requestsPerWindow(cfg Config) float64 {
-	life := w.latest - cfg.slotNumber(cfg.StartedAt)
-	n, least := 0, math.Inf(1)
-	for age := range 1 + max(windowSlots, min(totalSlots-1, life)) {
+	uptime := w.latest - cfg.slotNumber(cfg.StartedAt)
+	n, lowest := 0, math.Inf(1)
+	for age := range 1 + max(windowSlots, min(totalSlots-1, uptime)) {
 		n += w.slotBefore(age).requests
 		if age >= windowSlots {
-			// The latest part has only begun. Taken for a whole one it makes the mean no greater.
-			least = min(least, float64(n*windowSlots)/float64(age+1))
+			// Counting the newest, incomplete slot as a whole one can only lower the mean.
+			lowest = min(lowest, float64(n*windowSlots)/float64(age+1))
 		}
 	}
-	return least
+	return lowest
 }
 
-// repeats returns how many were taken within a window and the lag: the next may arrive in
-// one window with all of them.
+// retries returns how many retries were taken within a window and the lag before it: all of
+// them may arrive in the same window as the next one.
 func (w *slidingWindow) retries(cfg Config) int {
 	n := 0
 	for age := range min(totalSlots, windowSlots+1+cfg.slotNumber(cfg.Lag+cfg.slotLength()-1)) {
@@ -65,13 +67,13 @@
 	return n
 }
 
-// ago returns the part of so many parts ago.
+// slotBefore returns the slot that is age slots older than the newest.
 func (w *slidingWindow) slotBefore(age int64) slot {
 	return w.slots[((w.latest-age)%totalSlots+totalSlots)%totalSlots]
 }
 
-// partTime returns the length of a part.
+// slotLength returns the time that a slot covers.
 func (c Config) slotLength() clock.Millis { return max(1, c.Window/windowSlots) }
 
-// part returns the number of the part in which a time lies.
+// slotNumber returns the number of the slot that contains t.
 func (c Config) slotNumber(t clock.Millis) int64 { return int64(t / c.slotLength()) }
--- a/engines/duration/duration.go
+++ b/engines/duration/duration.go
@@ -1,10 +1,11 @@
-// Package duration learns how long answers take, and estimates how long one may
-// take that has not begun. How many events a stream can have follows from what
-// the request and the operators tell; the pace of events is learned, and kept
-// by nine of ten runs of them. Where either is unknown the published timeout
-// stands. The longest of the answers seen is no bound: the next is longer with
-// a chance of one in their number, and a process that came up a while ago has
-// seen none that takes longer than that.
+// Package duration learns how long responses take, and estimates how long a
+// response may take before it begins. The maximum number of events of a stream
+// follows from the request and the configuration. The pace of events is learned
+// from runs of consecutive events, and the estimate uses a pace that nine of ten
+// runs reach. If either is unknown, the published timeout applies. The longest
+// response observed is not a bound: after n responses the next one is longer
+// with a probability of about 1/n, and a process that started recently has only
+// observed responses shorter than its uptime.
 package duration
 
 import (
@@ -18,89 +19,95 @@
 )
 
 const (
-	// RunEvents is the number of events over which a pace is measured. Single pauses
-	// of a stream differ by more than ten times, runs of eight by about two.
+	// RunEvents is the number of events over which a pace is measured. Single
+	// pauses of a stream vary by more than a factor of ten, runs of eight events
+	// by about two.
 	RunEvents = 8
-	// leastRuns is how many runs must have been seen of a service before its
-	// usual pace is known.
+	// minTypicalRuns is the number of runs of a service that are needed for its
+	// typical pace.
 	minTypicalRuns = 4
-	// boundRuns is how many must have been seen before the pace of a bound is:
-	// those of several streams. By the runs of one, which may come from a fast
-	// engine, 3 of 90 drawn answers lasted longer.
+	// minBoundRuns is the number of runs that are needed for an upper bound, so
+	// that they come from several streams. Bounds from the runs of one stream,
+	// which may come from a fast engine, were exceeded by 3 of 90 simulated
+	// responses.
 	minBoundRuns = 32
-	// slowRuns is the part of all runs that the pace of a bound covers. An answer
-	// of full length has ten runs and more, which are not all slow: of 13,000
-	// streams of four deployments 15 took longer than this pace and the longest
-	// first event make, 4 of them among the longest route's.
+	// boundQuantile is the share of runs that the pace of an upper bound covers. A
+	// response of full length has ten or more runs, which are not all slow: of
+	// 13,000 streams of four deployments, 15 took longer than this pace plus the
+	// longest first event, 4 of them on the longest route.
 	boundQuantile = 0.9
-	// firstGoals is what the first event may take in goals of the route, or, if
-	// that is longer, firstShare of the longest seen.
+	// The first event may take firstEventGoals goals of the route or, if that is
+	// longer, firstEventFactor times the longest first event observed.
 	firstEventGoals  = 2
 	firstEventFactor = 1.5
-	// plainShare and plainMargin allow for a plain answer that takes longer than
-	// the longest seen.
+	// plainFactor and plainMargin extend the longest plain response observed to
+	// allow for a longer one.
 	plainFactor              = 1.25
 	plainMargin clock.Millis = 300
-	// DefaultTimeout is for how long any request is held whose route publishes no
-	// timeout.
+	// DefaultTimeout applies to routes that publish no timeout.
 	DefaultTimeout clock.Millis = 600_000
-	// routesMost and servicesMost bound what is remembered: 4 KB each.
+	// maxRoutes and maxServices limit memory use, at 4 KB per route or service.
 	maxRoutes   = 256
 	maxServices = 64
 )
 
-// Basis says what an estimate rests on.
+// Basis tells what an estimate is based on.
 type Basis string
 
 const (
-	// BasisEvents is the most events that the answer can have, at the pace of the
-	// service.
+	// BasisEvents is the maximum number of events of the response at the pace of
+	// the service.
 	BasisEvents Basis = "events"
-	// BasisTimeout is the route's published timeout: nothing better is known.
+	// BasisTimeout is the route's published timeout, used if nothing better is
+	// known.
 	BasisTimeout Basis = "timeout"
-	// BasisObserved is the longest of the plain answers seen. It is no bound: one that is
-	// not whole in time is answered as a failure.
+	// BasisObserved is the longest plain response observed. It is not a bound: a
+	// response that is incomplete by then is reported as a failure.
 	BasisObserved Basis = "seen"
 )
 
-// Request is what is known of an answer before it begins.
+// Request describes a response before it begins.
 type Request struct {
 	Route *table.Route
-	// Service names what the pace was recorded for.
+	// Service is the name under which the pace was recorded.
 	Service string
-	// MaxEvents is the most events that the answer can have, 0 if that is not known.
+	// MaxEvents is the maximum number of events of the response, 0 if unknown.
 	MaxEvents int
 }
 
-// Estimate says how long an answer takes.
+// Estimate tells how long a response takes.
 type Estimate struct {
-	// Max is what it does not exceed by its Basis: by Events one of 79,749 answers
-	// did that were drawn in a test; by Seen, some will.
+	// Max is the time that the response does not exceed, as far as Basis allows: with
+	// BasisEvents, one of 79,749 simulated responses exceeded it; with
+	// BasisObserved, some will.
 	Max clock.Millis
-	// Typical is what one of full length takes at the usual pace; at most Most.
+	// Typical is the time of a response of full length at the typical pace. It is
+	// at most Max.
 	Typical clock.Millis
 	Basis   Basis
-	// Samples is how many measurements the estimate rests on.
+	// Samples is the number of measurements behind the estimate.
 	Samples int
 }
 
-// Estimator remembers how long answers took. It is safe for concurrent use.
+// Estimator records how long responses took and estimates further ones. It is
+// safe for concurrent use.
 type Estimator struct {
 	mu       sync.Mutex
 	routes   map[string]*routeStats
 	services map[string]*paceStats
 }
 
-// pace is what was seen of the pace of events.
+// paceStats holds the measured pace of events.
 type paceStats struct {
 	runs samples
-	// rest is how many events, in restTook, came at the ends of streams, after
-	// their last runs. They make a run once there are enough.
+	// tailEvents counts the events after the last full runs of streams, and
+	// tailTime is their total time. They are combined into a run once there are
+	// enough of them.
 	tailEvents int
 	tailTime   clock.Millis
 }
 
-// end takes the events after the last run of a stream.
+// addTail records the events after the last full run of a stream.
 func (p *paceStats) addTail(events int, took clock.Millis) {
 	p.tailEvents += events
 	p.tailTime += took
@@ -110,206 +117,208 @@
 	}
 }
 
-// slower returns what the given part of the runs keep at each of two paces, the
-// longer of the two. A pace of which too little is known does not count.
-func (p *paceStats) slowerQuantile(o *paceStats, part float64) clock.Millis {
-	took := p.runs.quantile(part)
+// slowerQuantile returns the given quantile of the run times of p or of o,
+// whichever is longer. It ignores o if that has too few runs.
+func (p *paceStats) slowerQuantile(o *paceStats, q float64) clock.Millis {
+	took := p.runs.quantile(q)
 	if o.runs.n >= minTypicalRuns {
-		took = max(took, o.runs.quantile(part))
+		took = max(took, o.runs.quantile(q))
 	}
 	return took
 }
 
-// route is what was seen of one route.
+// routeStats holds the measurements of one route.
 type routeStats struct {
 	paceStats
 	firstEvents samples
-	// wholes are whole answers, from the request to their end.
+	// responses holds the times of complete responses, from the request to the end.
 	responses samples
-	// long is true once a plain answer was too long to be held until it is whole.
+	// passThrough is set once a plain response was too long to be buffered.
 	passThrough bool
 }
 
-// NewEstimator returns Answers that have seen nothing.
+// NewEstimator returns an Estimator without measurements.
 func NewEstimator() *Estimator {
 	return &Estimator{routes: map[string]*routeStats{}, services: map[string]*paceStats{}}
 }
 
 // RecordFirstEvent records the time until the first event of a stream.
-func (a *Estimator) RecordFirstEvent(name string, took clock.Millis) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if r := a.routeStats(name); r != nil {
+func (e *Estimator) RecordFirstEvent(route string, took clock.Millis) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if r := e.routeStats(route); r != nil {
 		r.firstEvents.add(took)
 	}
 }
 
-// MaxTimeToFirstOutput returns the longest time until one of the latest answers of a route showed a
-// sign: the first event of a stream, all of a plain answer. It is 0 if none came.
-func (a *Estimator) MaxTimeToFirstOutput(r *table.Route) clock.Millis {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	seen := a.routes[r.Name]
+// MaxTimeToFirstOutput returns the longest time that one of the latest
+// responses of a route took to produce output: the first event of a stream, or a
+// complete plain response. It returns 0 if there was no response.
+func (e *Estimator) MaxTimeToFirstOutput(r *table.Route) clock.Millis {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	stats := e.routes[r.Name]
 	switch {
-	case seen == nil:
+	case stats == nil:
 		return 0
 	case r.Kind == table.Stream:
-		return seen.firstEvents.longest()
+		return stats.firstEvents.longest()
 	}
-	return seen.responses.longest()
+	return stats.responses.longest()
 }
 
-// RecordResponse records the time of a whole answer.
-func (a *Estimator) RecordResponse(name string, took clock.Millis) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if r := a.routeStats(name); r != nil {
+// RecordResponse records the time of a complete response.
+func (e *Estimator) RecordResponse(route string, took clock.Millis) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if r := e.routeStats(route); r != nil {
 		r.responses.add(took)
 	}
 }
 
-// RecordPassThrough records that a route has plain answers that are passed on as they come.
-// One that ends early cannot be told as a failure, so only the timeout bounds
-// them.
-func (a *Estimator) RecordPassThrough(name string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if r := a.routeStats(name); r != nil {
+// RecordPassThrough records that a route has plain responses that are passed on
+// while they arrive. A truncated one cannot be reported as a failure anymore, so
+// only the timeout is a safe bound for them.
+func (e *Estimator) RecordPassThrough(route string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if r := e.routeStats(route); r != nil {
 		r.passThrough = true
 	}
 }
 
-// RecordRun records the time of a run of events of a route at a service. It is told
-// while a stream goes on, so that long ones count as much as those that have
-// ended.
-func (a *Estimator) RecordRun(name, service string, took clock.Millis) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, p := range a.paceStats(name, service) {
+// RecordRun records the time of a run of RunEvents events. It is called while
+// the stream is in progress, so that long streams count as much as completed
+// ones.
+func (e *Estimator) RecordRun(route, service string, took clock.Millis) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, p := range e.paceStats(route, service) {
 		p.runs.add(took)
 	}
 }
 
-// RecordTail records the time of the events that came after the last run of a stream.
-// Without them nothing would be known of a service whose streams are shorter
-// than a run.
-func (a *Estimator) RecordTail(name, service string, events int, took clock.Millis) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, p := range a.paceStats(name, service) {
+// RecordTail records the time of the events after the last full run of a
+// stream. It provides the pace of services whose streams are shorter than a run.
+func (e *Estimator) RecordTail(route, service string, events int, took clock.Millis) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, p := range e.paceStats(route, service) {
 		p.addTail(events, took)
 	}
 }
 
-// paces returns what is known of the pace of a service and of a route, without
-// those of which no more can be remembered. The caller holds mu.
-func (a *Estimator) paceStats(name, service string) []*paceStats {
+// paceStats returns the stats of a service and of a route, creating them as
+// needed. It omits those that would exceed maxServices or maxRoutes. The caller
+// holds mu.
+func (e *Estimator) paceStats(route, service string) []*paceStats {
 	var out []*paceStats
-	s := a.services[service]
-	if s == nil && len(a.services) < maxServices {
+	s := e.services[service]
+	if s == nil && len(e.services) < maxServices {
 		s = &paceStats{}
-		a.services[service] = s
+		e.services[service] = s
 	}
 	if s != nil {
 		out = append(out, s)
 	}
-	if r := a.routeStats(name); r != nil {
+	if r := e.routeStats(route); r != nil {
 		out = append(out, &r.paceStats)
 	}
 	return out
 }
 
-// route returns what is known of a route, nil if no more can be remembered.
-// The caller holds mu.
-func (a *Estimator) routeStats(name string) *routeStats {
-	r := a.routes[name]
-	if r == nil && len(a.routes) < maxRoutes {
+// routeStats returns the stats of a route, creating them as needed, or nil if
+// that would exceed maxRoutes. The caller holds mu.
+func (e *Estimator) routeStats(route string) *routeStats {
+	r := e.routes[route]
+	if r == nil && len(e.routes) < maxRoutes {
 		r = &routeStats{}
-		a.routes[name] = r
+		e.routes[route] = r
 	}
 	return r
 }
 
-// Estimate says how long the answer to a request takes.
-func (a *Estimator) Estimate(req Request) Estimate {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	seen := a.routes[req.Route.Name]
-	if seen == nil {
-		seen = &routeStats{}
+// Estimate returns how long the response to a request takes.
+func (e *Estimator) Estimate(req Request) Estimate {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	stats := e.routes[req.Route.Name]
+	if stats == nil {
+		stats = &routeStats{}
 	}
 	if req.Route.Kind != table.Stream {
-		return plainEstimate(req.Route, seen)
+		return plainEstimate(req.Route, stats)
 	}
-	s := a.services[req.Service]
+	s := e.services[req.Service]
 	if req.MaxEvents == 0 || s == nil || s.runs.n < minTypicalRuns {
 		return timeoutEstimate(req.Route)
 	}
-	return streamEstimate(req, seen, s)
+	return streamEstimate(req, stats, s)
 }
 
-// held is for how long a request of a route is held.
+// timeoutOf returns the timeout of a route.
 func timeoutOf(r *table.Route) clock.Millis { return cmp.Or(r.Timeout, DefaultTimeout) }
 
-// unknown is the estimate where nothing better than that is known.
+// timeoutEstimate returns the estimate for a route without usable measurements.
 func timeoutEstimate(r *table.Route) Estimate {
 	return Estimate{Max: timeoutOf(r), Typical: timeoutOf(r), Basis: BasisTimeout}
 }
 
-func plainEstimate(r *table.Route, seen *routeStats) Estimate {
-	if seen.responses.n == 0 || seen.passThrough {
+func plainEstimate(r *table.Route, stats *routeStats) Estimate {
+	if stats.responses.n == 0 || stats.passThrough {
 		return timeoutEstimate(r)
 	}
-	most := min(timeoutOf(r), clock.Millis(plainFactor*float64(seen.responses.longest()))+plainMargin)
-	return Estimate{Max: most, Typical: most, Basis: BasisObserved, Samples: seen.responses.n}
+	longest := min(timeoutOf(r), clock.Millis(plainFactor*float64(stats.responses.longest()))+plainMargin)
+	return Estimate{Max: longest, Typical: longest, Basis: BasisObserved, Samples: stats.responses.n}
 }
 
-// stream estimates a stream whose length is known. Its pace is that of the
-// service, of which more is known, or that of its route if that is slower.
-func streamEstimate(req Request, seen *routeStats, s *paceStats) Estimate {
+// streamEstimate returns the estimate for a stream with a known maximum number of
+// events. It uses the pace of the service, which has more measurements, or that of
+// the route if that is slower.
+func streamEstimate(req Request, stats *routeStats, service *paceStats) Estimate {
 	goal := req.Route.GoalOrUsual()
-	first := max(firstEventGoals*goal, clock.Millis(firstEventFactor*float64(seen.firstEvents.longest())))
-	usual := min(timeoutOf(req.Route), goal+eventsTime(req.MaxEvents, s.slowerQuantile(&seen.paceStats, 0.5)))
-	if s.runs.n < minBoundRuns {
-		return Estimate{Max: timeoutOf(req.Route), Typical: usual, Basis: BasisTimeout, Samples: s.runs.n}
+	first := max(firstEventGoals*goal, clock.Millis(firstEventFactor*float64(stats.firstEvents.longest())))
+	typical := min(timeoutOf(req.Route), goal+eventsTime(req.MaxEvents, service.slowerQuantile(&stats.paceStats, 0.5)))
+	if service.runs.n < minBoundRuns {
+		return Estimate{Max: timeoutOf(req.Route), Typical: typical, Basis: BasisTimeout, Samples: service.runs.n}
 	}
-	most := min(timeoutOf(req.Route), max(first+eventsTime(req.MaxEvents, s.slowerQuantile(&seen.paceStats, boundQuantile))+req.Route.PauseGoal, seen.responses.longest()))
-	return Estimate{Max: most, Typical: min(usual, most), Basis: BasisEvents, Samples: s.runs.n}
+	longest := min(timeoutOf(req.Route), max(first+eventsTime(req.MaxEvents, service.slowerQuantile(&stats.paceStats, boundQuantile))+req.Route.PauseGoal, stats.responses.longest()))
+	return Estimate{Max: longest, Typical: min(typical, longest), Basis: BasisEvents, Samples: service.runs.n}
 }
 
-// events is how long n events take where a run takes so long.
+// eventsTime returns the time of n events, given the time of a run.
 func eventsTime(n int, run clock.Millis) clock.Millis {
 	return clock.Millis(math.Ceil(float64(n) * float64(run) / RunEvents))
 }
 
-// latestMost is how many measurements are remembered of each kind: a few
-// seconds' worth where much is going on.
+// maxSamples is the number of measurements kept of each kind. A busy process
+// takes that many in a few seconds.
 const maxSamples = 256
 
-// latest holds the latest measurements.
+// samples is a ring buffer of the latest measurements.
 type samples struct {
 	values [maxSamples]int32
-	// n is how many are held, next where the next goes.
+	// n is the number of values in use, next the index of the next write.
 	n, next int
 }
 
-func (l *samples) add(took clock.Millis) {
-	l.values[l.next] = int32(min(took, math.MaxInt32))
-	l.next = (l.next + 1) % maxSamples
-	l.n = min(maxSamples, l.n+1)
+func (s *samples) add(took clock.Millis) {
+	s.values[s.next] = int32(min(took, math.MaxInt32))
+	s.next = (s.next + 1) % maxSamples
+	s.n = min(maxSamples, s.n+1)
 }
 
-func (l *samples) longest() clock.Millis {
-	if l.n == 0 {
+func (s *samples) longest() clock.Millis {
+	if s.n == 0 {
 		return 0
 	}
-	return clock.Millis(slices.Max(l.values[:l.n]))
+	return clock.Millis(slices.Max(s.values[:s.n]))
 }
 
-// quantile returns the value that the given part of the measurements does not
-// exceed. There must be one.
-func (l *samples) quantile(part float64) clock.Millis {
-	sorted := slices.Clone(l.values[:l.n])
+// quantile returns the value that the share q of the measurements does not
+// exceed. There must be at least one measurement.
+func (s *samples) quantile(q float64) clock.Millis {
+	sorted := slices.Clone(s.values[:s.n])
 	slices.Sort(sorted)
-	return clock.Millis(sorted[min(l.n-1, int(part*float64(l.n)))])
+	return clock.Millis(sorted[min(s.n-1, int(q*float64(s.n)))])
 }
