--- a/commands/gate.go
+++ b/commands/gate.go
@@ -82,7 +82,7 @@
 	defer wg.Wait()
 	defer stopReading()
 	others := peers.New(peers.Config{
-		ID: boot.ID, Addr: ls[3].Addr().String(), Seeds: boot.Peers, Facts: g, Clock: clk, Log: log,
+		ID: boot.ID, Addr: ls[3].Addr().String(), Seeds: boot.Peers, Host: g, Clock: clk, Log: log,
 	})
 	wg.Go(func() { others.Run(readCtx, ls[3]) })
 	wg.Go(func() { followBoot(readCtx, g, log, hup) })
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -20,7 +20,7 @@
 	usualEntries                 = extraShare
 )
 
-// SetOthers implements peers.Facts. An entry that loses sight of others cannot
+// SetOthers implements peers.Host. An entry that loses sight of others cannot
 // tell whether they ended, so it goes on counting as many as it ever knew.
 func (g *Gate) SetOthers(self string, others []string) {
 	g.mu.Lock()
@@ -57,7 +57,7 @@
 	part, ok := g.parts[id]
 	if !ok {
 		b := g.bounds()
-		part = g.shares.Of(int(coldPart*(s.WarmupRate*b.ColdOverrun+b.ColdExtra)), id)
+		part = g.shares.Part(int(coldPart*(s.WarmupRate*b.ColdOverrun+b.ColdExtra)), id)
 		g.parts[id] = part
 	}
 	return part
--- a/gate/epoch_test.go
+++ b/gate/epoch_test.go
@@ -12,7 +12,7 @@
 )
 
 // age is how old this entry says that its table is.
-func age(g *gate.Gate) clock.Millis { return g.Tell(0, 0).TableAge }
+func age(g *gate.Gate) clock.Millis { return g.Status(0, 0).TableAge }
 
 // What a store says soon after it came back from an older copy proves nothing, nor does
 // word of a peer that speaks of another epoch.
@@ -25,10 +25,10 @@
 		"an earlier epoch": {func(g *gate.Gate, clk *clock.Clock) { g.ConfirmTable(1, clk.Now()) }, 2000},
 		"the store, later": {func(g *gate.Gate, clk *clock.Clock) { time.Sleep(2 * time.Second); g.ConfirmTable(2, clk.Now()) }, 0},
 		"a peer of another epoch": {func(g *gate.Gate, clk *clock.Clock) {
-			g.Hear("edge-2", peers.Known{Table: 5, Epoch: 1, EpochAge: 9000}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Table: 5, Epoch: 1, EpochAge: 9000}, clk.Now())
 		}, 2000},
 		"a peer that knows the epoch for longer": {func(g *gate.Gate, clk *clock.Clock) {
-			g.Hear("edge-2", peers.Known{Table: 5, TableAge: 100, Epoch: 2, EpochAge: 9000}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Table: 5, TableAge: 100, Epoch: 2, EpochAge: 9000}, clk.Now())
 		}, 100},
 		"an older version, later": {func(g *gate.Gate, clk *clock.Clock) {
 			time.Sleep(2 * time.Second)
@@ -49,7 +49,7 @@
 				if got := age(g); got != tc.want {
 					t.Errorf("got a table that is %d ms old, want %d", got, tc.want)
 				}
-				if got := g.Tell(0, 0).Table; got != 5 {
+				if got := g.Status(0, 0).Table; got != 5 {
 					t.Errorf("got version %d in force, want 5", got)
 				}
 			})
@@ -66,7 +66,7 @@
 		start := clk.Now()
 		for age(g) == clk.Now()-start && clk.Now()-start < 20_000 {
 			time.Sleep(400 * time.Millisecond)
-			g.Hear("edge-2", peers.Known{Table: 6, Epoch: 2}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Table: 6, Epoch: 2}, clk.Now())
 			g.ConfirmTable(2, clk.Now())
 		}
 		if got := clk.Now() - start; got < 9000 || got > 12_000 {
@@ -81,7 +81,7 @@
 		g, clk := newGate(t, false)
 		asked := 0
 		for n := range int64(100) {
-			g.Hear("edge-2", peers.Known{Epoch: 10 + n}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Epoch: 10 + n}, clk.Now())
 			if g.EpochMissed() {
 				asked++
 			}
--- a/gate/export_test.go
+++ b/gate/export_test.go
@@ -8,7 +8,7 @@
 )
 
 // ShareOf returns the gate's part of what all entries may do.
-func (g *Gate) ShareOf(whole int, key string) int { return g.shares.Of(whole, key) }
+func (g *Gate) ShareOf(whole int, key string) int { return g.shares.Part(whole, key) }
 
 // Failure returns what a caller gets for a failure.
 func (g *Gate) Failure(err *verdict.Error) *http.Response {
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -6,7 +6,7 @@
 	"github.com/weldfall/weldfall/peers"
 )
 
-var _ peers.Facts = (*Gate)(nil)
+var _ peers.Host = (*Gate)(nil)
 
 const (
 	// dueOfRevocation is the part of the bound for revoked keys after which the
@@ -85,17 +85,17 @@
 	return many, many && g.answeredAt > 0 && g.clk.Now()-g.answeredAt <= answeredLately
 }
 
-// SetFleet implements peers.Facts.
+// SetFleet implements peers.Host.
 func (g *Gate) SetFleet(f peers.Fleet) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet = f
 }
 
-// Tell implements peers.Facts.
-func (g *Gate) Tell(loads, suspects int) peers.Known {
+// Status implements peers.Host.
+func (g *Gate) Status(loads, suspects int) peers.Status {
 	now := g.clk.Now()
-	k := peers.Known{}
+	k := peers.Status{}
 	k.SuspectSum, k.Suspects = g.guard.Tell(suspects)
 	t := g.table.Load()
 	g.mu.Lock()
@@ -105,29 +105,29 @@
 	}
 	k.Revision = g.storeRevision()
 	if t != nil && g.published.Known() {
-		k.Table, k.TableAge, k.Evacuated = t.Version(), g.published.Age(now), sumOf(g.evacuated)
+		k.Table, k.TableAge, k.EvacuatedSum = t.Version(), g.published.Age(now), sumOf(g.evacuated)
 	}
-	k.Remembers = g.remembers(now)
-	k.List, k.ListAge = g.tellList(now)
+	k.SuspectsComplete = g.remembers(now)
+	k.ListSum, k.ListAge = g.tellList(now)
 	for _, l := range g.book.Loads(loadFresh, loads, now) {
 		k.Loads = append(k.Loads, peers.Load{Engine: l.Mark(), Requests: l.Requests, Age: l.Age})
 	}
 	return k
 }
 
-// Hear implements peers.Facts. What a peer knew of the same version and the same
+// ReceiveStatus implements peers.Host. What a peer knew of the same version and the same
 // evacuations at some time is true of ours; of another version it says only that
 // ours is old, and of other evacuations only that one of us has yet to learn.
-func (g *Gate) Hear(from string, k peers.Known, at clock.Millis) {
-	if k.Remembers {
+func (g *Gate) ReceiveStatus(from string, k peers.Status, at clock.Millis) {
+	if k.SuspectsComplete {
 		g.hearMemory(from)
 	}
 	g.hearAges(k, at)
-	g.HearLoads(k.Loads, at)
+	g.ReceiveLoads(k.Loads, at)
 	g.HearSuspects(from, k.Suspects)
 }
 
-func (g *Gate) hearAges(k peers.Known, at clock.Millis) {
+func (g *Gate) hearAges(k peers.Status, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sameEpoch := k.EpochAge >= 0 && g.hearEpoch(k.Epoch, at-k.EpochAge, at)
@@ -135,13 +135,13 @@
 		g.hearRevision(k.Epoch, k.Revision)
 	}
 	if sameEpoch && k.ListAge >= 0 {
-		g.hearList(k.List, at-k.ListAge, g.clk.Now())
+		g.hearList(k.ListSum, at-k.ListAge, g.clk.Now())
 	}
 	t := g.table.Load()
 	if t == nil || k.TableAge < 0 {
 		return
 	}
-	same := k.Evacuated == sumOf(g.evacuated)
+	same := k.EvacuatedSum == sumOf(g.evacuated)
 	if k.Table > t.Version() {
 		g.aheadAt = at
 	}
@@ -172,9 +172,9 @@
 	return retryStale
 }
 
-// HearLoads implements peers.Facts. A load is of the life of an engine that told it:
+// ReceiveLoads implements peers.Host. A load is of the life of an engine that told it:
 // a peer may not know yet that a later one began.
-func (g *Gate) HearLoads(loads []peers.Load, at clock.Millis) {
+func (g *Gate) ReceiveLoads(loads []peers.Load, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range loads {
--- a/gate/facts_test.go
+++ b/gate/facts_test.go
@@ -67,7 +67,7 @@
 func TestAPeerThatLiesOfANewerVersionCostsOneProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := newGate(t, false)
-		g.Hear("edge-2", peers.Known{Table: 99}, clk.Now())
+		g.ReceiveStatus("edge-2", peers.Status{Table: 99}, clk.Now())
 		if got, want := due(t, g, clk), clock.Millis(700); got != want {
 			t.Errorf("got a proof after %d ms, want %d: time for the watch to bring the version", got, want)
 		}
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Stop implements peers.Facts. The process ends when what runs has ended as it
+// Stop implements peers.Host. The process ends when what runs has ended as it
 // usually does, but not before the balancer has noticed.
 func (g *Gate) Stop() peers.Stop {
 	since := clock.Millis(g.leave.since.Load())
--- a/gate/listing.go
+++ b/gate/listing.go
@@ -142,7 +142,7 @@
 	since := now - g.list.askedAt
 	// What changes together costs one call, and a peer that lies no more than there would
 	// be without it.
-	behind := g.list.behind && now-g.list.wantedAt >= wordFor && !g.changes.Waiting()
+	behind := g.list.behind && now-g.list.wantedAt >= wordFor && !g.changes.HasPending()
 	unproved := g.list.toldAt > 0 && now-g.list.toldAt > toldFor
 	if since > ownWord || unproved || (behind && since >= clock.Millis(due)) {
 		return true
@@ -192,36 +192,36 @@
 	}
 }
 
-// Wanted implements peers.Facts: the changes are wanted of the one that told of a later list.
-func (g *Gate) Wanted(sum uint32) (changes.Place, bool) {
+// WantedChanges implements peers.Host: the changes are wanted of the one that told of a later list.
+func (g *Gate) WantedChanges(sum uint32) (changes.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clk.Now()
-	if !g.list.behind || sum != g.list.other || g.changes.Waiting() || !g.sharesList(now) {
-		return changes.Place{}, false
+	if !g.list.behind || sum != g.list.other || g.changes.HasPending() || !g.sharesList(now) {
+		return changes.Position{}, false
 	}
-	place, ok := g.changes.Place()
+	place, ok := g.changes.Position()
 	if ok {
 		g.list.wantedAt = now
 	}
 	return place, ok
 }
 
-// Since implements peers.Facts.
-func (g *Gate) Since(p changes.Place) (changes.Word, bool) {
+// ChangesSince implements peers.Host.
+func (g *Gate) ChangesSince(p changes.Position) (changes.Delta, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum, age := g.tellList(g.clk.Now())
 	came, to, ok := g.changes.Since(p)
 	if sum == 0 || !ok {
-		return changes.Word{}, false
+		return changes.Delta{}, false
 	}
-	return changes.Word{From: p, To: to, Sum: sum, Age: age, Changes: came}, true
+	return changes.Delta{From: p, To: to, Sum: sum, Age: age, Changes: came}, true
 }
 
-// HearChanges implements peers.Facts. Who follows the list judges what it says.
-func (g *Gate) HearChanges(from string, w changes.Word, at clock.Millis) {
+// ReceiveChanges implements peers.Host. Who follows the list judges what it says.
+func (g *Gate) ReceiveChanges(from string, w changes.Delta, at clock.Millis) {
 	if w.Age >= 0 {
-		g.changes.Tell(changes.Told{Word: w, By: from, At: at - w.Age})
+		g.changes.SetPending(changes.PeerDelta{Delta: w, Peer: from, ValidAt: at - w.Age})
 	}
 }
--- a/gate/listing_test.go
+++ b/gate/listing_test.go
@@ -44,7 +44,7 @@
 
 func TestAListIsDueInTimeForTheBoundOfLeavingEngines(t *testing.T) {
 	same := func(g *gate.Gate, clk *clock.Clock) {
-		g.Hear("edge-2", peers.Known{Epoch: 1, List: 7, ListAge: 800}, clk.Now())
+		g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 7, ListAge: 800}, clk.Now())
 	}
 	for name, tc := range map[string]struct {
 		first bool
@@ -56,21 +56,21 @@
 		"another that hears nothing": {false, nil, 2000, leavingBound * 2 / 3},
 		"others know the same":       {false, same, 30_000, 60_100},
 		"others know the same of an earlier epoch": {false, func(g *gate.Gate, clk *clock.Clock) {
-			g.Hear("edge-2", peers.Known{List: 7}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{ListSum: 7}, clk.Now())
 		}, 2000, leavingBound * 2 / 3},
 		"others know the same, long ago": {false, func(g *gate.Gate, clk *clock.Clock) {
-			g.Hear("edge-2", peers.Known{Epoch: 1, List: 7, ListAge: 9000}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 7, ListAge: 9000}, clk.Now())
 		}, 2000, leavingBound * 2 / 3},
 		"others tell a time to come": {false, func(g *gate.Gate, clk *clock.Clock) {
-			g.Hear("edge-2", peers.Known{Epoch: 1, List: 7, ListAge: -9000}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 7, ListAge: -9000}, clk.Now())
 		}, 2000, leavingBound * 2 / 3},
 		"others know another": {false, func(g *gate.Gate, clk *clock.Clock) {
-			g.Hear("edge-2", peers.Known{Epoch: 1, List: 8}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 8}, clk.Now())
 		}, 2000, leavingBound * 2 / 3},
 		"some know the same, one a later one": {false, func(g *gate.Gate, clk *clock.Clock) {
 			same(g, clk)
 			if clk.Now() >= 10_000 {
-				g.Hear("edge-3", peers.Known{Epoch: 1, List: 8}, clk.Now())
+				g.ReceiveStatus("edge-3", peers.Status{Epoch: 1, ListSum: 8}, clk.Now())
 			}
 		}, 9900, 10_100},
 	} {
@@ -99,9 +99,9 @@
 		n := 0
 		for end := clk.Now() + clock.FromDuration(period); clk.Now() < end; {
 			time.Sleep(100 * time.Millisecond)
-			g.Hear("edge-2", peers.Known{Epoch: 1, List: 7}, clk.Now())
+			g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 7}, clk.Now())
 			if sum := lie(); sum != 0 {
-				g.Hear("edge-3", peers.Known{Epoch: 1, List: sum}, clk.Now())
+				g.ReceiveStatus("edge-3", peers.Status{Epoch: 1, ListSum: sum}, clk.Now())
 			}
 			if g.ListDue() {
 				n++
@@ -134,34 +134,34 @@
 func TestChangesAreWantedOfWhoToldOfThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := listGate(false, 7)
-		g.Changes().Begin(changes.Place{Epoch: 1, Revision: 10})
+		g.Changes().Reset(changes.Position{Epoch: 1, Revision: 10})
 		time.Sleep(3 * time.Second)
-		g.Hear("edge-2", peers.Known{Epoch: 1, List: 7, ListAge: 1500}, clk.Now())
-		if _, ok := g.Wanted(7); ok {
+		g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 7, ListAge: 1500}, clk.Now())
+		if _, ok := g.WantedChanges(7); ok {
 			t.Error("got changes wanted of one that knows the same")
 		}
-		g.Hear("edge-2", peers.Known{Epoch: 1, List: 8, ListAge: 2000}, clk.Now())
-		if _, ok := g.Wanted(8); ok {
+		g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 8, ListAge: 2000}, clk.Now())
+		if _, ok := g.WantedChanges(8); ok {
 			t.Error("got changes wanted of one that knew another list earlier")
 		}
-		g.Hear("edge-3", peers.Known{Epoch: 1, List: 9, ListAge: 100}, clk.Now())
-		if _, ok := g.Wanted(8); ok {
+		g.ReceiveStatus("edge-3", peers.Status{Epoch: 1, ListSum: 9, ListAge: 100}, clk.Now())
+		if _, ok := g.WantedChanges(8); ok {
 			t.Error("got changes wanted of another than the one that told of a later list")
 		}
-		place, ok := g.Wanted(9)
-		if want := (changes.Place{Epoch: 1, Revision: 10}); !ok || place != want {
+		place, ok := g.WantedChanges(9)
+		if want := (changes.Position{Epoch: 1, Revision: 10}); !ok || place != want {
 			t.Fatalf("got changes since %v wanted: %v, want since %v", place, ok, want)
 		}
 		if g.ListDue() {
 			t.Error("got the store asked at once, want others' word waited for")
 		}
-		g.HearChanges("edge-3", changes.Word{From: place, Sum: 9}, clk.Now())
+		g.ReceiveChanges("edge-3", changes.Delta{From: place, Sum: 9}, clk.Now())
 		time.Sleep(400 * time.Millisecond)
-		if _, ok := g.Wanted(9); ok || g.ListDue() {
+		if _, ok := g.WantedChanges(9); ok || g.ListDue() {
 			t.Error("got the store or others asked while a word waits to be taken")
 		}
-		told, ok := g.Changes().Take()
-		if !ok || told.By != "edge-3" {
+		told, ok := g.Changes().TakePending()
+		if !ok || told.Peer != "edge-3" {
 			t.Fatalf("got the word %+v, %v, want that of edge-3", told, ok)
 		}
 		// It did not fit.
@@ -169,8 +169,8 @@
 			t.Error("got the store not asked though others' word did not help")
 		}
 		// It did.
-		g.HearEngines(9, told.At)
-		if g.ListDue() || g.Tell(0, 0).List != 9 {
+		g.HearEngines(9, told.ValidAt)
+		if g.ListDue() || g.Status(0, 0).ListSum != 9 {
 			t.Error("got the list of before, want the one that was told")
 		}
 	})
@@ -181,7 +181,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := listGate(false, 7)
 		g.HearEngines(8, clk.Now())
-		say := func() { g.Hear("edge-2", peers.Known{Epoch: 1, List: 8}, clk.Now()) }
+		say := func() { g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 8}, clk.Now()) }
 		if got := listDue(t, g, clk, say); got < 15_000 || got > 20_200 {
 			t.Errorf("got the list due after %d ms, want 20 s", got)
 		}
@@ -196,19 +196,19 @@
 func TestChangesAreToldWithTheAgeOfTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := listGate(false, 7)
-		g.Changes().Begin(changes.Place{Epoch: 1, Revision: 10})
-		g.Changes().Add(12, []changes.Change{{Key: "a", Revision: 12}})
-		since := changes.Place{Epoch: 1, Revision: 10}
+		g.Changes().Reset(changes.Position{Epoch: 1, Revision: 10})
+		g.Changes().Append(12, []changes.Change{{Key: "a", Revision: 12}})
+		since := changes.Position{Epoch: 1, Revision: 10}
 		time.Sleep(300 * time.Millisecond)
-		got, ok := g.Since(since)
+		got, ok := g.ChangesSince(since)
 		if !ok || got.Age != 300 || got.Sum != 7 || got.From != since || got.To.Revision != 12 || len(got.Changes) != 1 {
 			t.Errorf("got %+v, %v, want the change with the list's age", got, ok)
 		}
-		if _, ok := g.Since(changes.Place{Epoch: 1, Revision: 12}); ok {
+		if _, ok := g.ChangesSince(changes.Position{Epoch: 1, Revision: 12}); ok {
 			t.Error("got changes since the latest, want none")
 		}
 		g.StoreEpoch(2, clk.Now())
-		if _, ok := g.Since(since); ok {
+		if _, ok := g.ChangesSince(since); ok {
 			t.Error("got changes of a store in doubt, want none")
 		}
 	})
@@ -218,13 +218,13 @@
 func TestAListOfAStoreInDoubtIsNotShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := listGate(false, 7)
-		if !g.ListShared() || g.Tell(0, 0).List != 7 {
+		if !g.ListShared() || g.Status(0, 0).ListSum != 7 {
 			t.Fatalf("got a list that is not shared among many, want it to be")
 		}
 		time.Sleep(time.Second)
 		g.StoreEpoch(2, clk.Now())
 		g.ConfirmEngines(7, clk.Now())
-		if g.ListShared() || g.Tell(0, 0).List != 0 {
+		if g.ListShared() || g.Status(0, 0).ListSum != 0 {
 			t.Errorf("got a list of a store in doubt shared, want not")
 		}
 		time.Sleep(5 * time.Second)
@@ -235,7 +235,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := listGate(false, 7)
 		g.SetFleet(peers.Fleet{Entries: 5})
-		if g.ListShared() || g.Tell(0, 0).List != 0 {
+		if g.ListShared() || g.Status(0, 0).ListSum != 0 {
 			t.Errorf("got a list shared among few, want each to ask")
 		}
 	})
@@ -244,12 +244,12 @@
 // The more entries ask a store that does not answer, the less often each may; those that
 // cannot serve yet, and those that are few, ask as before.
 func TestWhoElseAsksTheStoreIsKnown(t *testing.T) {
-	answer := func(age clock.Millis) *peers.Known { return &peers.Known{Table: 5, TableAge: age, Epoch: 1} }
+	answer := func(age clock.Millis) *peers.Status { return &peers.Status{Table: 5, TableAge: age, Epoch: 1} }
 	for name, tc := range map[string]struct {
 		entries int
 		unready bool
 		// told is what a peer tells, pass what passes then.
-		told     *peers.Known
+		told     *peers.Status
 		pass     time.Duration
 		many     bool
 		answered bool
@@ -262,8 +262,8 @@
 		"many, one of which has answers":     {entries: many, told: answer(1000), many: true, answered: true},
 		"many, one of which had answers":     {entries: many, told: answer(0), pass: 3 * time.Second, many: true},
 		"many that had answers long ago":     {entries: many, told: answer(9000), many: true},
-		"a later version, which has answers": {entries: many, told: &peers.Known{Table: 6, Epoch: 1}, many: true, answered: true},
-		"a peer that knows nothing":          {entries: many, told: &peers.Known{}, many: true},
+		"a later version, which has answers": {entries: many, told: &peers.Status{Table: 6, Epoch: 1}, many: true, answered: true},
+		"a peer that knows nothing":          {entries: many, told: &peers.Status{}, many: true},
 		"a peer that tells a time to come":   {entries: many, told: answer(-9000), many: true},
 		"an entry that cannot serve yet":     {entries: many, told: answer(0), unready: true},
 	} {
@@ -276,7 +276,7 @@
 					g.SetTable(table.New(table.Config{Version: 5}), table.Arrival{TrueAt: clk.Now(), Epoch: 1})
 				}
 				if tc.told != nil {
-					g.Hear("edge-2", *tc.told, clk.Now())
+					g.ReceiveStatus("edge-2", *tc.told, clk.Now())
 				}
 				time.Sleep(tc.pass)
 				if many, answered := g.StoreAsked(); many != tc.many || answered != tc.answered {
@@ -401,7 +401,7 @@
 		}
 		f.members[way[1]].Unpack(f.members[way[0]].Pack(now), now)
 	}
-	f.gates[i].Hear("edge", f.gates[to].Tell(0, 0), now)
+	f.gates[i].ReceiveStatus("edge", f.gates[to].Status(0, 0), now)
 }
 
 // Where many entries know a list that is written again without a change, a few calls a
--- a/gate/stay.go
+++ b/gate/stay.go
@@ -155,7 +155,7 @@
 	if stillSent {
 		mayRefuse = f.Serving / fewStopping
 	}
-	return f.Serving+f.Later > 0 && f.Earlier < max(1, mayRefuse)
+	return f.Serving+f.StoppingAfter > 0 && f.StoppingBefore < max(1, mayRefuse)
 }
 
 // retryAfterStop is when a request may come back that a stopping entry refused:
@@ -167,7 +167,7 @@
 	g.mu.Lock()
 	f := g.fleet
 	g.mu.Unlock()
-	back := f.HalfEnd
+	back := f.HalfEndedAt
 	switch {
 	case f.Entries <= 1:
 		back = g.Stop().End
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -54,7 +54,7 @@
 	switch f := g.fleet; {
 	case g.mostEntries <= 1:
 		return quarantine.Single
-	case f.Serving+f.Earlier+f.Later == 0:
+	case f.Serving+f.StoppingBefore+f.StoppingAfter == 0:
 		return quarantine.Isolated
 	}
 	return quarantine.InContact
@@ -148,18 +148,18 @@
 	return e != nil && e.Unreached()
 }
 
-// HearSuspects implements peers.Facts.
+// HearSuspects implements peers.Host.
 func (g *Gate) HearSuspects(from, packed string) {
 	for _, t := range g.guard.Hear(from, packed, g.isLost) {
 		g.reserve(t.Life, g.clk.Now()+t.Left)
 	}
 }
 
-// SpreadSuspects implements peers.Facts.
-func (g *Gate) SpreadSuspects() { g.guard.Spread() }
+// BroadcastSuspects implements peers.Host.
+func (g *Gate) BroadcastSuspects() { g.guard.Spread() }
 
-// News implements peers.Facts.
+// News implements peers.Host.
 func (g *Gate) News() <-chan struct{} { return g.guard.News() }
 
-// TakeNews implements peers.Facts.
+// TakeNews implements peers.Host.
 func (g *Gate) TakeNews() string { return g.guard.TakeNews() }
--- a/peers/changes/changes.go
+++ b/peers/changes/changes.go
@@ -10,12 +10,12 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Most bounds the changes that are kept and told at once, of some 300 bytes each: a release
+// MaxChanges bounds the changes that are kept and told at once, of some 300 bytes each: a release
 // that replaces five engines a second makes 15 a second, and word of it is 2 s old at most.
-const Most = 64
+const MaxChanges = 64
 
-// Place is a point in the history of a list.
-type Place struct {
+// Position is a point in the history of a list.
+type Position struct {
 	// Epoch is that of the source, and Revision means something in it only.
 	Epoch    int64 `json:"e,omitempty"`
 	Revision int64 `json:"r"`
@@ -30,11 +30,11 @@
 	Removed  bool   `json:"x,omitempty"`
 }
 
-// Word is what one process tells another of a list.
-type Word struct {
+// Delta is what one process tells another of a list.
+type Delta struct {
 	// From is how the other knew the list, and To how it is with the changes.
-	From Place `json:"f"`
-	To   Place `json:"t"`
+	From Position `json:"f"`
+	To   Position `json:"t"`
 	// Sum stands for the whole list with the changes, and Age is how long ago it was last
 	// known to be so.
 	Sum     uint32       `json:"s"`
@@ -42,12 +42,12 @@
 	Changes []Change     `json:"c"`
 }
 
-// Told is a word of another process.
-type Told struct {
-	Word
-	// By is the address of the one that told it, and At when it was true.
-	By string
-	At clock.Millis
+// PeerDelta is a word of another process.
+type PeerDelta struct {
+	Delta
+	// Peer is the address of the one that told it, and At when it was true.
+	Peer string
+	ValidAt clock.Millis
 }
 
 // Log has the latest changes of a list, and what another process told of it. The zero value
@@ -57,30 +57,30 @@
 	// from is the place after which all changes are kept, and to the latest; both are
 	// nowhere until begun.
 	begun    bool
-	from, to Place
+	from, to Position
 	// changes has one for each key, by the order in which they came.
 	changes []Change
 	// told is the word that waits to be taken, nil if none does.
-	told *Told
+	told *PeerDelta
 }
 
-// Begin says that the list is known as it was at a place, however it came to that.
-func (l *Log) Begin(at Place) {
+// Reset says that the list is known as it was at a place, however it came to that.
+func (l *Log) Reset(at Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.begun, l.from, l.to, l.changes = true, at, at, nil
 }
 
-// End says that what is known of the list is not so: nothing is told of it until it begins
+// Invalidate says that what is known of the list is not so: nothing is told of it until it begins
 // again.
-func (l *Log) End() {
+func (l *Log) Invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.begun = false
 }
 
-// Add says what came to the list until a revision of the same epoch.
-func (l *Log) Add(revision int64, changes []Change) {
+// Append says what came to the list until a revision of the same epoch.
+func (l *Log) Append(revision int64, changes []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range changes {
@@ -88,7 +88,7 @@
 		l.changes = append(l.changes, c)
 	}
 	l.to.Revision = max(l.to.Revision, revision)
-	if over := len(l.changes) - Most; over > 0 {
+	if over := len(l.changes) - MaxChanges; over > 0 {
 		// The order in which they came need not be that of their revisions.
 		for _, c := range l.changes[:over] {
 			l.from.Revision = max(l.from.Revision, c.Revision)
@@ -97,8 +97,8 @@
 	}
 }
 
-// Place returns how the list is known, or false if it is not.
-func (l *Log) Place() (Place, bool) {
+// Position returns how the list is known, or false if it is not.
+func (l *Log) Position() (Position, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.to, l.begun
@@ -106,11 +106,11 @@
 
 // Since returns what came after a place, and up to where, or false if that is not known or
 // nothing did.
-func (l *Log) Since(p Place) (changes []Change, to Place, ok bool) {
+func (l *Log) Since(p Position) (changes []Change, to Position, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.begun || p.Epoch != l.to.Epoch || p.Revision < l.from.Revision || p.Revision >= l.to.Revision {
-		return nil, Place{}, false
+		return nil, Position{}, false
 	}
 	for _, c := range l.changes {
 		if c.Revision > p.Revision {
@@ -120,27 +120,27 @@
 	return changes, l.to, len(changes) > 0
 }
 
-// Tell leaves a word of another process to be taken. The one before it, if it still waits,
+// SetPending leaves a word of another process to be taken. The one before it, if it still waits,
 // is dropped.
-func (l *Log) Tell(t Told) {
+func (l *Log) SetPending(t PeerDelta) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.told = &t
 }
 
-// Waiting reports whether a word waits to be taken.
-func (l *Log) Waiting() bool {
+// HasPending reports whether a word waits to be taken.
+func (l *Log) HasPending() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.told != nil
 }
 
-// Take returns the word that waits, or false if none does.
-func (l *Log) Take() (Told, bool) {
+// TakePending returns the word that waits, or false if none does.
+func (l *Log) TakePending() (PeerDelta, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.told == nil {
-		return Told{}, false
+		return PeerDelta{}, false
 	}
 	t := *l.told
 	l.told = nil
--- a/peers/changes_test.go
+++ b/peers/changes_test.go
@@ -19,20 +19,20 @@
 // lateFacts is a process that wants the changes that its peers tell of.
 type lateFacts struct {
 	facts
-	told []changes.Word
+	told []changes.Delta
 }
 
-func (f *lateFacts) Wanted(sum uint32) (changes.Place, bool) {
-	return changes.Place{Epoch: 3, Revision: 10}, sum == listSum
+func (f *lateFacts) WantedChanges(sum uint32) (changes.Position, bool) {
+	return changes.Position{Epoch: 3, Revision: 10}, sum == listSum
 }
 
-func (f *lateFacts) HearChanges(_ string, w changes.Word, _ clock.Millis) {
+func (f *lateFacts) ReceiveChanges(_ string, w changes.Delta, _ clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.told = append(f.told, w)
 }
 
-func (f *lateFacts) words() []changes.Word {
+func (f *lateFacts) words() []changes.Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.told
@@ -44,20 +44,20 @@
 // knowingFacts is a process that knows what came since revision 10.
 type knowingFacts struct{ facts }
 
-func (*knowingFacts) Tell(int, int) peers.Known { return peers.Known{List: listSum} }
+func (*knowingFacts) Status(int, int) peers.Status { return peers.Status{ListSum: listSum} }
 
-func (*knowingFacts) Since(p changes.Place) (changes.Word, bool) {
-	return changes.Word{From: p, Sum: listSum, Changes: []changes.Change{{Key: "a", Value: []byte{0, 255}, Revision: 12}}}, p.Revision == 10
+func (*knowingFacts) ChangesSince(p changes.Position) (changes.Delta, bool) {
+	return changes.Delta{From: p, Sum: listSum, Changes: []changes.Change{{Key: "a", Value: []byte{0, 255}, Revision: 12}}}, p.Revision == 10
 }
 
-func runPeers(t *testing.T, id string, seeds []string, f peers.Facts) string {
+func runPeers(t *testing.T, id string, seeds []string, f peers.Host) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	p := peers.New(peers.Config{ID: id, Addr: addr, Seeds: seeds, Facts: f, Clock: clock.System(), Log: slog.New(slog.DiscardHandler)})
+	p := peers.New(peers.Config{ID: id, Addr: addr, Seeds: seeds, Host: f, Clock: clock.System(), Log: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -74,7 +74,7 @@
 	runPeers(t, "e2", []string{knows}, late)
 	wait(t, "changes", func() bool { return len(late.words()) > 0 })
 	got := late.words()[0]
-	if got.From != (changes.Place{Epoch: 3, Revision: 10}) || len(got.Changes) != 1 || string(got.Changes[0].Value) != "\x00\xff" {
+	if got.From != (changes.Position{Epoch: 3, Revision: 10}) || len(got.Changes) != 1 || string(got.Changes[0].Value) != "\x00\xff" {
 		t.Errorf("got the word %+v, want the change since revision 10", got)
 	}
 }
@@ -85,7 +85,7 @@
 func (o oldPeer) Call(_ context.Context, _ *link.Conn, method string, _ json.RawMessage) (any, error) {
 	if method == "ask" {
 		o.asked <- method
-		return map[string]any{"m": []peers.Member{{ID: "old"}}, "k": peers.Known{List: listSum}}, nil
+		return map[string]any{"m": []peers.Member{{ID: "old"}}, "k": peers.Status{ListSum: listSum}}, nil
 	}
 	return nil, errors.New("unknown method " + method)
 }
--- a/peers/cost_test.go
+++ b/peers/cost_test.go
@@ -41,17 +41,17 @@
 	return f
 }
 
-func (f *busyFacts) Tell(n, _ int) peers.Known {
-	return peers.Known{Table: 1234, TableAge: 321, List: 3_912_345_678, ListAge: 1234, Epoch: 2, EpochAge: 345_678, Revision: 12_345_678, Remembers: true, Loads: f.loads[:n]}
+func (f *busyFacts) Status(n, _ int) peers.Status {
+	return peers.Status{Table: 1234, TableAge: 321, ListSum: 3_912_345_678, ListAge: 1234, Epoch: 2, EpochAge: 345_678, Revision: 12_345_678, SuspectsComplete: true, Loads: f.loads[:n]}
 }
-func (*busyFacts) Hear(string, peers.Known, clock.Millis)         {}
+func (*busyFacts) ReceiveStatus(string, peers.Status, clock.Millis)         {}
 func (*busyFacts) Stop() peers.Stop                               { return peers.Stop{} }
-func (*busyFacts) HearLoads([]peers.Load, clock.Millis)           {}
-func (*busyFacts) Wanted(uint32) (changes.Place, bool)            { return changes.Place{}, false }
-func (*busyFacts) Since(changes.Place) (changes.Word, bool)       { return changes.Word{}, false }
-func (*busyFacts) HearChanges(string, changes.Word, clock.Millis) {}
+func (*busyFacts) ReceiveLoads([]peers.Load, clock.Millis)           {}
+func (*busyFacts) WantedChanges(uint32) (changes.Position, bool)            { return changes.Position{}, false }
+func (*busyFacts) ChangesSince(changes.Position) (changes.Delta, bool)       { return changes.Delta{}, false }
+func (*busyFacts) ReceiveChanges(string, changes.Delta, clock.Millis) {}
 func (*busyFacts) HearSuspects(string, string)                    {}
-func (*busyFacts) SpreadSuspects()                                {}
+func (*busyFacts) BroadcastSuspects()                                {}
 func (*busyFacts) News() <-chan struct{}                          { return nil }
 func (*busyFacts) TakeNews() string                               { return "" }
 
@@ -73,7 +73,7 @@
 func (f *busyFacts) share(whole int) (part int, first bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return peers.NewShares(f.self, f.others, f.most).Of(whole, "engine"), f.fleet.First
+	return peers.NewShares(f.self, f.others, f.most).Part(whole, "engine"), f.fleet.First
 }
 
 // countedListener counts the bytes of the connections that it accepts, in both
@@ -156,7 +156,7 @@
 	}
 	for i := range n {
 		facts[i] = newBusyFacts()
-		all[i] = peers.New(peers.Config{ID: name(i), Addr: lns[i].Addr().String(), Seeds: seeds, Facts: facts[i], Clock: clk, Log: log})
+		all[i] = peers.New(peers.Config{ID: name(i), Addr: lns[i].Addr().String(), Seeds: seeds, Host: facts[i], Clock: clk, Log: log})
 		wg.Go(func() { all[i].Run(ctx, lns[i]) })
 	}
 	asked := metrics.GetOrCreateCounter("weldfall_peer_asks_total").Get
--- a/peers/fleet_test.go
+++ b/peers/fleet_test.go
@@ -126,7 +126,7 @@
 		}
 		part := float64(m.Count()) / living
 		v.least, v.most = min(v.least, part), max(v.most, part)
-		v.shares += float64(peers.NewShares(f.addrs[i], m.Others(), 0).Of(whole, "engine")) / whole
+		v.shares += float64(peers.NewShares(f.addrs[i], m.Others(), 0).Part(whole, "engine")) / whole
 		if m.First(f.now) {
 			v.firsts++
 		}
--- a/peers/members.go
+++ b/peers/members.go
@@ -76,14 +76,14 @@
 	First bool
 	// Serving is how many others were heard of lately and are not stopping.
 	Serving int
-	// Earlier and Later are how many others are stopping since before this one
+	// StoppingBefore and StoppingAfter are how many others are stopping since before this one
 	// is, and since after.
-	Earlier, Later int
-	// HalfEnd is when so many of those that were stopping expect to have ended,
+	StoppingBefore, StoppingAfter int
+	// HalfEndedAt is when so many of those that were stopping expect to have ended,
 	// this one included, that they and those that serve are half of all: of four
 	// entries of which one serves, when the first of the others ends. It may have
 	// passed; it is zero if half of all serve.
-	HalfEnd clock.Millis
+	HalfEndedAt clock.Millis
 }
 
 const (
@@ -190,14 +190,14 @@
 		case !k.stop.begun():
 			f.Serving++
 		case m.leavesBefore(k):
-			f.Earlier++
+			f.StoppingBefore++
 		default:
-			f.Later++
+			f.StoppingAfter++
 		}
 	}
 	slices.Sort(ends)
 	if missing := (heard+1)/2 - f.Serving; missing > 0 && len(ends) > 0 {
-		f.HalfEnd = ends[min(missing, len(ends))-1]
+		f.HalfEndedAt = ends[min(missing, len(ends))-1]
 	}
 	return f
 }
--- a/peers/members_test.go
+++ b/peers/members_test.go
@@ -106,15 +106,15 @@
 		others []peers.Member
 		want   peers.Fleet
 	}{
-		"alone":             {nil, peers.Fleet{Entries: 1, First: true, HalfEnd: 15_000}},
+		"alone":             {nil, peers.Fleet{Entries: 1, First: true, HalfEndedAt: 15_000}},
 		"one serves":        {[]peers.Member{member(1, 0)}, peers.Fleet{Entries: 2, Serving: 1}},
-		"one is not heard":  {[]peers.Member{member(1, 3000)}, peers.Fleet{Entries: 2, HalfEnd: 15_000}},
-		"one before":        {[]peers.Member{leaving(1, 0, 2000)}, peers.Fleet{Entries: 2, Earlier: 1, HalfEnd: 11_500}},
-		"one after":         {[]peers.Member{leaving(1, 0, 300)}, peers.Fleet{Entries: 2, Later: 1, HalfEnd: 11_500}},
-		"heard a while ago": {[]peers.Member{leaving(1, 800, 1000)}, peers.Fleet{Entries: 2, Earlier: 1, HalfEnd: 10_700}},
-		"has likely ended":  {[]peers.Member{leaving(1, 3000, 1000)}, peers.Fleet{Entries: 2, HalfEnd: 8500}},
-		"two stop of three": {[]peers.Member{leaving(1, 0, 300), leaving(2, 100, 300)}, peers.Fleet{Entries: 3, Later: 2, HalfEnd: 11_500}},
-		"one of two serves": {[]peers.Member{member(1, 0), leaving(2, 100, 300)}, peers.Fleet{Entries: 3, Serving: 1, Later: 1, HalfEnd: 11_400}},
+		"one is not heard":  {[]peers.Member{member(1, 3000)}, peers.Fleet{Entries: 2, HalfEndedAt: 15_000}},
+		"one before":        {[]peers.Member{leaving(1, 0, 2000)}, peers.Fleet{Entries: 2, StoppingBefore: 1, HalfEndedAt: 11_500}},
+		"one after":         {[]peers.Member{leaving(1, 0, 300)}, peers.Fleet{Entries: 2, StoppingAfter: 1, HalfEndedAt: 11_500}},
+		"heard a while ago": {[]peers.Member{leaving(1, 800, 1000)}, peers.Fleet{Entries: 2, StoppingBefore: 1, HalfEndedAt: 10_700}},
+		"has likely ended":  {[]peers.Member{leaving(1, 3000, 1000)}, peers.Fleet{Entries: 2, HalfEndedAt: 8500}},
+		"two stop of three": {[]peers.Member{leaving(1, 0, 300), leaving(2, 100, 300)}, peers.Fleet{Entries: 3, StoppingAfter: 2, HalfEndedAt: 11_500}},
+		"one of two serves": {[]peers.Member{member(1, 0), leaving(2, 100, 300)}, peers.Fleet{Entries: 3, Serving: 1, StoppingAfter: 1, HalfEndedAt: 11_400}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := peers.NewMembers(member(0, 0))
@@ -138,15 +138,15 @@
 	a.Leave(peers.Stop{Since: 1000, End: 7000})
 	b.Leave(peers.Stop{Since: 1100, End: 7000})
 	a.Learn(b.Sample(2000)[0], 2000)
-	if got, want := a.Fleet(2000).HalfEnd, clock.Millis(7000); got != want {
+	if got, want := a.Fleet(2000).HalfEndedAt, clock.Millis(7000); got != want {
 		t.Errorf("got half of them back after %d, want %d", got, want)
 	}
 	b.Learn(a.Sample(2000)[0], 2000)
-	if got := a.Fleet(2000).Earlier + b.Fleet(2000).Earlier; got != 1 {
+	if got := a.Fleet(2000).StoppingBefore + b.Fleet(2000).StoppingBefore; got != 1 {
 		t.Errorf("got %d entries with another before them, want 1", got)
 	}
 	a.Learn(member(1, 0), 3000)
-	if got := a.Fleet(3000); got.Serving != 1 || got.Earlier+got.Later != 0 {
+	if got := a.Fleet(3000); got.Serving != 1 || got.StoppingBefore+got.StoppingAfter != 0 {
 		t.Errorf("got %+v after the other came back, want one that serves", got)
 	}
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -44,16 +44,16 @@
 	methodChanges = "changes"
 )
 
-// Known is what a process knows that may be of use to others.
-type Known struct {
+// Status is what a process knows that may be of use to others.
+type Status struct {
 	// Table is the version in force, zero if there is none.
 	Table int64 `json:"t,omitempty"`
 	// TableAge is how long ago it was last known to be the newest, and Evacuated to
 	// be true.
 	TableAge clock.Millis `json:"ta,omitempty"`
-	// Evacuated is a sum over the names of the data halls under evacuation, zero
+	// EvacuatedSum is a sum over the names of the data halls under evacuation, zero
 	// if there are none. It tells whether two processes know of the same.
-	Evacuated uint64 `json:"ev,omitempty"`
+	EvacuatedSum uint64 `json:"ev,omitempty"`
 	Loads     Loads  `json:"o,omitempty"`
 	// Epoch is that of the store as the process last met it, zero if it tells none, and
 	// EpochAge how long ago it was first met by anybody that is known.
@@ -62,13 +62,13 @@
 	// Revision is the newest of that epoch which the process knows the store to have
 	// reached.
 	Revision int64 `json:"r,omitempty"`
-	// List stands for what the list of engines says, zero if the process does not tell,
+	// ListSum stands for what the list of engines says, zero if the process does not tell,
 	// and ListAge is how long ago that was last known to be so.
-	List    uint32       `json:"l,omitempty"`
+	ListSum    uint32       `json:"l,omitempty"`
 	ListAge clock.Millis `json:"la,omitempty"`
-	// Remembers is true if the process knows of the requests under which engines ended
+	// SuspectsComplete is true if the process knows of the requests under which engines ended
 	// before all entries that started lately.
-	Remembers bool `json:"rm,omitempty"`
+	SuspectsComplete bool `json:"rm,omitempty"`
 	// SuspectSum stands for all requests that are suspected to end engines, zero if
 	// there are none, and Suspects tells of some of them.
 	SuspectSum uint64 `json:"qs,omitempty"`
@@ -80,16 +80,16 @@
 	Members []Member `json:"m"`
 	// Packed has more of them.
 	Packed string `json:"p,omitempty"`
-	Known  Known  `json:"k"`
+	Status  Status  `json:"k"`
 }
 
-// Facts is the process that the peers help.
-type Facts interface {
-	// Tell returns what the process knows, with at most so many loads and suspects.
-	Tell(loads, suspects int) Known
-	// Hear takes what a peer of that id knew at the given time or later. It may be a
+// Host is the process that the peers help.
+type Host interface {
+	// Status returns what the process knows, with at most so many loads and suspects.
+	Status(loads, suspects int) Status
+	// ReceiveStatus takes what a peer of that id knew at the given time or later. It may be a
 	// lie; only ages, loads and suspects are in it.
-	Hear(from string, k Known, at clock.Millis)
+	ReceiveStatus(from string, k Status, at clock.Millis)
 	// Stop returns the stop of the process, zero if it is not stopping.
 	Stop() Stop
 	// SetFleet takes what is known of the others.
@@ -97,18 +97,18 @@
 	// SetOthers takes how this entry and the others that are known are called among
 	// them; the others are sorted.
 	SetOthers(self string, others []string)
-	// HearLoads takes the loads of a peer that asked.
-	HearLoads(loads []Load, at clock.Millis)
-	// Wanted returns how the list of engines is known here if what came to it since is
+	// ReceiveLoads takes the loads of a peer that asked.
+	ReceiveLoads(loads []Load, at clock.Millis)
+	// WantedChanges returns how the list of engines is known here if what came to it since is
 	// wanted of a peer that told of the list for which sum stands.
-	Wanted(sum uint32) (changes.Place, bool)
-	// Since returns what came to the list after a place, or false if that is not known.
-	Since(p changes.Place) (changes.Word, bool)
-	// HearChanges takes the answer of the peer at an address that was asked at the given
+	WantedChanges(sum uint32) (changes.Position, bool)
+	// ChangesSince returns what came to the list after a place, or false if that is not known.
+	ChangesSince(p changes.Position) (changes.Delta, bool)
+	// ReceiveChanges takes the answer of the peer at an address that was asked at the given
 	// time. It may be a lie.
-	HearChanges(from string, w changes.Word, at clock.Millis)
-	// SpreadSuspects tells others of all suspects at once.
-	SpreadSuspects()
+	ReceiveChanges(from string, w changes.Delta, at clock.Millis)
+	// BroadcastSuspects tells others of all suspects at once.
+	BroadcastSuspects()
 	gossip.Source
 }
 
@@ -119,7 +119,7 @@
 	Addr string
 	// Seeds are members to ask while none is known; they may be down.
 	Seeds []string
-	Facts Facts
+	Host Host
 	Clock *clock.Clock
 	Log   *slog.Logger
 }
@@ -160,7 +160,7 @@
 	p.links = link.NewPool(cfg.Clock, p)
 	// Connections may have died while the instance was suspended.
 	cfg.Clock.OnSuspend(func(clock.Millis) { p.links.CloseUnheard(p.clk.Now()) })
-	p.gossip = gossip.New(gossip.Config{From: cfg.ID, Source: cfg.Facts, Links: p.links, Others: p.some, Log: cfg.Log})
+	p.gossip = gossip.New(gossip.Config{From: cfg.ID, Source: cfg.Host, Links: p.links, Others: p.some, Log: cfg.Log})
 	return p
 }
 
@@ -254,11 +254,11 @@
 		return
 	}
 	p.learn(answer, at)
-	p.cfg.Facts.Hear(answer.sender(), answer.Known, at)
-	if !answer.Known.Remembers {
-		p.remind(p.cfg.Facts.Tell(0, 0), answer)
+	p.cfg.Host.ReceiveStatus(answer.sender(), answer.Status, at)
+	if !answer.Status.SuspectsComplete {
+		p.remind(p.cfg.Host.Status(0, 0), answer)
 	}
-	p.askChanges(ctx, addr, answer.Known.List)
+	p.askChanges(ctx, addr, answer.Status.ListSum)
 }
 
 // call asks addr, over the connection that is there or a new one. One that gives
@@ -287,7 +287,7 @@
 // askChanges asks the peer at addr, which told of the list of engines for which sum stands,
 // for what came to it, if that is wanted. A peer that cannot tell costs a message.
 func (p *Peers) askChanges(ctx context.Context, addr string, sum uint32) {
-	place, ok := p.cfg.Facts.Wanted(sum)
+	place, ok := p.cfg.Host.WantedChanges(sum)
 	if !ok {
 		return
 	}
@@ -299,12 +299,12 @@
 		p.log.Debug("ask_failed", "peer", addr, "error", err)
 		return
 	}
-	var w changes.Word
+	var w changes.Delta
 	if err := c.Call(ctx, methodChanges, place, &w); err != nil {
 		p.log.Debug("ask_failed", "peer", addr, "error", err)
 		return
 	}
-	p.cfg.Facts.HearChanges(addr, w, at)
+	p.cfg.Host.ReceiveChanges(addr, w, at)
 }
 
 // doubt closes the connections that were not heard since a question was sent
@@ -317,13 +317,13 @@
 }
 
 // message makes a message of what this process knows.
-func (p *Peers) message(k Known) message {
-	stop := p.cfg.Facts.Stop()
+func (p *Peers) message(k Status) message {
+	stop := p.cfg.Host.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.Leave(stop)
 	now := p.clk.Now()
-	return message{Members: p.members.Sample(now), Packed: p.members.Pack(now), Known: k}
+	return message{Members: p.members.Sample(now), Packed: p.members.Pack(now), Status: k}
 }
 
 // sender is the id of the process that a message is of.
@@ -348,8 +348,8 @@
 	p.mu.Lock()
 	f := p.members.Fleet(p.clk.Now())
 	n := f.Entries
-	p.cfg.Facts.SetFleet(f)
-	p.cfg.Facts.SetOthers(p.cfg.Addr, p.members.others())
+	p.cfg.Host.SetFleet(f)
+	p.cfg.Host.SetOthers(p.cfg.Addr, p.members.others())
 	changed := p.alone != (n == 1)
 	p.alone = n == 1
 	p.mu.Unlock()
@@ -367,11 +367,11 @@
 	case methodAsk:
 		return p.asked(method, params)
 	case methodChanges:
-		place, err := wire.Decode[changes.Place](method, params)
+		place, err := wire.Decode[changes.Position](method, params)
 		if err != nil {
 			return nil, err
 		}
-		if w, ok := p.cfg.Facts.Since(place); ok {
+		if w, ok := p.cfg.Host.ChangesSince(place); ok {
 			return w, nil
 		}
 		return nil, fmt.Errorf("the changes since revision %d of epoch %d are not known here", place.Revision, place.Epoch)
@@ -387,7 +387,7 @@
 	}
 	now := p.clk.Now()
 	p.learn(question, now)
-	p.cfg.Facts.HearLoads(question.Known.Loads, now)
+	p.cfg.Host.ReceiveLoads(question.Status.Loads, now)
 	return p.answer(question), nil
 }
 
--- a/peers/share.go
+++ b/peers/share.go
@@ -30,9 +30,9 @@
 	return s
 }
 
-// Of returns this entry's part of a whole. What is left when all have the same
+// Part returns this entry's part of a whole. What is left when all have the same
 // goes to one more each of some entries, to others for another key.
-func (s Shares) Of(whole int, key string) int {
+func (s Shares) Part(whole int, key string) int {
 	n := len(s.seeds) + 1
 	part, left := whole/n, whole%n
 	if s.before(key) < left {
--- a/peers/share_test.go
+++ b/peers/share_test.go
@@ -23,7 +23,7 @@
 		got := 0
 		for i, id := range ids {
 			others := slices.Delete(slices.Clone(ids), i, i+1)
-			part := peers.NewShares(id, others, 0).Of(whole, key)
+			part := peers.NewShares(id, others, 0).Part(whole, key)
 			if part < whole/n || part > whole/n+1 {
 				t.Fatalf("got a part of %d of %d among %d, want them even", part, whole, n)
 			}
@@ -40,7 +40,7 @@
 	s := peers.NewShares("edge-0", []string{"edge-1", "edge-2", "edge-3"}, 0)
 	with := 0
 	for i := range 400 {
-		with += s.Of(2, fmt.Sprintf("engine-%d", i))
+		with += s.Part(2, fmt.Sprintf("engine-%d", i))
 	}
 	if with < 150 || with > 250 {
 		t.Errorf("got one of two in four for %d keys of 400, want about half", with)
@@ -49,13 +49,13 @@
 
 // An entry that knows few others takes them to be there all the same.
 func TestAnEntryThatKnowsNoOthersTakesLess(t *testing.T) {
-	if got, want := peers.NewShares("edge-0", nil, 0).Of(14, "e"), 14; got != want {
+	if got, want := peers.NewShares("edge-0", nil, 0).Part(14, "e"), 14; got != want {
 		t.Errorf("got %d alone, want %d", got, want)
 	}
-	if got, most := peers.NewShares("edge-0", nil, 32).Of(14, "e"), 1; got > most {
+	if got, most := peers.NewShares("edge-0", nil, 32).Part(14, "e"), 1; got > most {
 		t.Errorf("got %d where 32 are taken to be there, want at most %d", got, most)
 	}
-	if got, most := peers.NewShares("edge-0", []string{"edge-1"}, 32).Of(320, "e"), 10; got != most {
+	if got, most := peers.NewShares("edge-0", []string{"edge-1"}, 32).Part(320, "e"), 10; got != most {
 		t.Errorf("got %d of 320 where 32 are taken to be there, want %d", got, most)
 	}
 }
--- a/peers/silent_test.go
+++ b/peers/silent_test.go
@@ -21,9 +21,9 @@
 	heard int
 }
 
-func (f *facts) Tell(int, int) peers.Known { return peers.Known{} }
+func (f *facts) Status(int, int) peers.Status { return peers.Status{} }
 
-func (f *facts) Hear(string, peers.Known, clock.Millis) {
+func (f *facts) ReceiveStatus(string, peers.Status, clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.heard++
@@ -38,14 +38,14 @@
 func (f *facts) Stop() peers.Stop                     { return peers.Stop{} }
 func (f *facts) SetOthers(string, []string)           {}
 func (f *facts) SetFleet(peers.Fleet)                 {}
-func (f *facts) HearLoads([]peers.Load, clock.Millis) {}
+func (f *facts) ReceiveLoads([]peers.Load, clock.Millis) {}
 
-func (f *facts) Wanted(uint32) (changes.Place, bool)            { return changes.Place{}, false }
-func (f *facts) Since(changes.Place) (changes.Word, bool)       { return changes.Word{}, false }
-func (f *facts) HearChanges(string, changes.Word, clock.Millis) {}
+func (f *facts) WantedChanges(uint32) (changes.Position, bool)            { return changes.Position{}, false }
+func (f *facts) ChangesSince(changes.Position) (changes.Delta, bool)       { return changes.Delta{}, false }
+func (f *facts) ReceiveChanges(string, changes.Delta, clock.Millis) {}
 func (f *facts) HearSuspects(string, string)                    {}
 
-func (f *facts) SpreadSuspects() {}
+func (f *facts) BroadcastSuspects() {}
 
 func (f *facts) News() <-chan struct{} { return nil }
 
@@ -111,7 +111,7 @@
 	for i := range n {
 		f := &facts{}
 		p := peers.New(peers.Config{
-			ID: fmt.Sprintf("e%d", i), Addr: links[i].Addr(), Seeds: []string{links[0].Addr()}, Facts: f,
+			ID: fmt.Sprintf("e%d", i), Addr: links[i].Addr(), Seeds: []string{links[0].Addr()}, Host: f,
 			Clock: clock.System(), Log: slog.New(slog.DiscardHandler),
 		})
 		all, known = append(all, f), append(known, p)
--- a/peers/suspects.go
+++ b/peers/suspects.go
@@ -16,7 +16,7 @@
 
 // question is what a peer is asked with.
 func (p *Peers) question() message {
-	k := p.cfg.Facts.Tell(loadsAsked, gossip.Asked)
+	k := p.cfg.Host.Status(loadsAsked, gossip.Asked)
 	p.mu.Lock()
 	at := p.differedAt
 	p.mu.Unlock()
@@ -28,9 +28,9 @@
 
 // answer is what a peer is told that asked. Suspects are in it if the peer knows others.
 func (p *Peers) answer(question message) message {
-	p.cfg.Facts.HearSuspects(question.sender(), question.Known.Suspects)
-	k := p.cfg.Facts.Tell(loadsTold, gossip.Told)
-	if !p.differ(k, question.Known) {
+	p.cfg.Host.HearSuspects(question.sender(), question.Status.Suspects)
+	k := p.cfg.Host.Status(loadsTold, gossip.Told)
+	if !p.differ(k, question.Status) {
 		k.Suspects = ""
 	}
 	p.remind(k, question)
@@ -40,8 +40,8 @@
 // remind has all suspects told to others at once if this process knows them and the peer
 // that a message came from does not: a process that has just started sends requests before
 // it has asked one that remembers, and others have likely started with it.
-func (p *Peers) remind(own Known, m message) {
-	if !own.Remembers || m.Known.Remembers || own.SuspectSum == 0 || own.SuspectSum == m.Known.SuspectSum {
+func (p *Peers) remind(own Status, m message) {
+	if !own.SuspectsComplete || m.Status.SuspectsComplete || own.SuspectSum == 0 || own.SuspectSum == m.Status.SuspectSum {
 		return
 	}
 	p.mu.Lock()
@@ -53,12 +53,12 @@
 	p.mu.Unlock()
 	if due {
 		p.log.Info("strikes_told", "to", m.sender())
-		p.cfg.Facts.SpreadSuspects()
+		p.cfg.Host.BroadcastSuspects()
 	}
 }
 
 // differ reports whether a peer knows other suspects than this process, and notes it.
-func (p *Peers) differ(own, peer Known) bool {
+func (p *Peers) differ(own, peer Status) bool {
 	if own.SuspectSum == peer.SuspectSum {
 		return false
 	}
