--- a/peers/changes/changes.go
+++ b/peers/changes/changes.go
@@ -46,7 +46,7 @@
 type PeerDelta struct {
 	Delta
 	// Peer is the address of the one that told it, and At when it was true.
-	Peer string
+	Peer    string
 	ValidAt clock.Millis
 }
 
--- a/peers/cost_test.go
+++ b/peers/cost_test.go
@@ -44,16 +44,16 @@
 func (f *busyFacts) Status(n, _ int) peers.Status {
 	return peers.Status{Table: 1234, TableAge: 321, ListSum: 3_912_345_678, ListAge: 1234, Epoch: 2, EpochAge: 345_678, Revision: 12_345_678, SuspectsComplete: true, Loads: f.loads[:n]}
 }
-func (*busyFacts) ReceiveStatus(string, peers.Status, clock.Millis)         {}
-func (*busyFacts) Stop() peers.Stop                               { return peers.Stop{} }
-func (*busyFacts) ReceiveLoads([]peers.Load, clock.Millis)           {}
-func (*busyFacts) WantedChanges(uint32) (changes.Position, bool)            { return changes.Position{}, false }
-func (*busyFacts) ChangesSince(changes.Position) (changes.Delta, bool)       { return changes.Delta{}, false }
-func (*busyFacts) ReceiveChanges(string, changes.Delta, clock.Millis) {}
-func (*busyFacts) HearSuspects(string, string)                    {}
-func (*busyFacts) BroadcastSuspects()                                {}
-func (*busyFacts) News() <-chan struct{}                          { return nil }
-func (*busyFacts) TakeNews() string                               { return "" }
+func (*busyFacts) ReceiveStatus(string, peers.Status, clock.Millis)    {}
+func (*busyFacts) Stop() peers.Stop                                    { return peers.Stop{} }
+func (*busyFacts) ReceiveLoads([]peers.Load, clock.Millis)             {}
+func (*busyFacts) WantedChanges(uint32) (changes.Position, bool)       { return changes.Position{}, false }
+func (*busyFacts) ChangesSince(changes.Position) (changes.Delta, bool) { return changes.Delta{}, false }
+func (*busyFacts) ReceiveChanges(string, changes.Delta, clock.Millis)  {}
+func (*busyFacts) HearSuspects(string, string)                         {}
+func (*busyFacts) BroadcastSuspects()                                  {}
+func (*busyFacts) News() <-chan struct{}                               { return nil }
+func (*busyFacts) TakeNews() string                                    { return "" }
 
 func (f *busyFacts) SetFleet(fleet peers.Fleet) {
 	f.mu.Lock()
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -54,7 +54,7 @@
 	// EvacuatedSum is a sum over the names of the data halls under evacuation, zero
 	// if there are none. It tells whether two processes know of the same.
 	EvacuatedSum uint64 `json:"ev,omitempty"`
-	Loads     Loads  `json:"o,omitempty"`
+	Loads        Loads  `json:"o,omitempty"`
 	// Epoch is that of the store as the process last met it, zero if it tells none, and
 	// EpochAge how long ago it was first met by anybody that is known.
 	Epoch    int64        `json:"e,omitempty"`
@@ -64,7 +64,7 @@
 	Revision int64 `json:"r,omitempty"`
 	// ListSum stands for what the list of engines says, zero if the process does not tell,
 	// and ListAge is how long ago that was last known to be so.
-	ListSum    uint32       `json:"l,omitempty"`
+	ListSum uint32       `json:"l,omitempty"`
 	ListAge clock.Millis `json:"la,omitempty"`
 	// SuspectsComplete is true if the process knows of the requests under which engines ended
 	// before all entries that started lately.
@@ -80,7 +80,7 @@
 	Members []Member `json:"m"`
 	// Packed has more of them.
 	Packed string `json:"p,omitempty"`
-	Status  Status  `json:"k"`
+	Status Status `json:"k"`
 }
 
 // Host is the process that the peers help.
@@ -119,7 +119,7 @@
 	Addr string
 	// Seeds are members to ask while none is known; they may be down.
 	Seeds []string
-	Host Host
+	Host  Host
 	Clock *clock.Clock
 	Log   *slog.Logger
 }
--- a/peers/silent_test.go
+++ b/peers/silent_test.go
@@ -35,15 +35,15 @@
 	return f.heard
 }
 
-func (f *facts) Stop() peers.Stop                     { return peers.Stop{} }
-func (f *facts) SetOthers(string, []string)           {}
-func (f *facts) SetFleet(peers.Fleet)                 {}
+func (f *facts) Stop() peers.Stop                        { return peers.Stop{} }
+func (f *facts) SetOthers(string, []string)              {}
+func (f *facts) SetFleet(peers.Fleet)                    {}
 func (f *facts) ReceiveLoads([]peers.Load, clock.Millis) {}
 
-func (f *facts) WantedChanges(uint32) (changes.Position, bool)            { return changes.Position{}, false }
-func (f *facts) ChangesSince(changes.Position) (changes.Delta, bool)       { return changes.Delta{}, false }
-func (f *facts) ReceiveChanges(string, changes.Delta, clock.Millis) {}
-func (f *facts) HearSuspects(string, string)                    {}
+func (f *facts) WantedChanges(uint32) (changes.Position, bool)       { return changes.Position{}, false }
+func (f *facts) ChangesSince(changes.Position) (changes.Delta, bool) { return changes.Delta{}, false }
+func (f *facts) ReceiveChanges(string, changes.Delta, clock.Millis)  {}
+func (f *facts) HearSuspects(string, string)                         {}
 
 func (f *facts) BroadcastSuspects() {}
 
