--- a/gate/facts.go
+++ b/gate/facts.go
@@ -96,7 +96,7 @@
 func (g *Gate) Status(loads, suspects int) peers.Status {
 	now := g.clk.Now()
 	k := peers.Status{}
-	k.SuspectSum, k.Suspects = g.guard.Tell(suspects)
+	k.SuspectSum, k.Suspects = g.guard.Summarize(suspects)
 	t := g.table.Load()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 	g.hearAges(k, at)
 	g.ReceiveLoads(k.Loads, at)
-	g.HearSuspects(from, k.Suspects)
+	g.ReceiveSuspects(from, k.Suspects)
 }
 
 func (g *Gate) hearAges(k peers.Status, at clock.Millis) {
--- a/peers/cost_test.go
+++ b/peers/cost_test.go
@@ -50,10 +50,10 @@
 func (*busyFacts) WantedChanges(uint32) (changes.Position, bool)       { return changes.Position{}, false }
 func (*busyFacts) ChangesSince(changes.Position) (changes.Delta, bool) { return changes.Delta{}, false }
 func (*busyFacts) ReceiveChanges(string, changes.Delta, clock.Millis)  {}
-func (*busyFacts) HearSuspects(string, string)                         {}
+func (*busyFacts) ReceiveSuspects(string, string)                      {}
 func (*busyFacts) BroadcastSuspects()                                  {}
-func (*busyFacts) News() <-chan struct{}                               { return nil }
-func (*busyFacts) TakeNews() string                                    { return "" }
+func (*busyFacts) SuspectsPending() <-chan struct{}                    { return nil }
+func (*busyFacts) TakeSuspects() string                                { return "" }
 
 func (f *busyFacts) SetFleet(fleet peers.Fleet) {
 	f.mu.Lock()
--- a/peers/silent_test.go
+++ b/peers/silent_test.go
@@ -43,13 +43,13 @@
 func (f *facts) WantedChanges(uint32) (changes.Position, bool)       { return changes.Position{}, false }
 func (f *facts) ChangesSince(changes.Position) (changes.Delta, bool) { return changes.Delta{}, false }
 func (f *facts) ReceiveChanges(string, changes.Delta, clock.Millis)  {}
-func (f *facts) HearSuspects(string, string)                         {}
+func (f *facts) ReceiveSuspects(string, string)                      {}
 
 func (f *facts) BroadcastSuspects() {}
 
-func (f *facts) News() <-chan struct{} { return nil }
+func (f *facts) SuspectsPending() <-chan struct{} { return nil }
 
-func (f *facts) TakeNews() string { return "" }
+func (f *facts) TakeSuspects() string { return "" }
 
 // When all connections between entries fall silent, each loses one question and
 // then asks over new connections.
