--- a/gate/account.go
+++ b/gate/account.go
@@ -68,39 +68,39 @@
 	g.counts.total.Update(inSeconds(now - c.start))
 	if c.reply.FirstAt() > 0 {
 		g.counts.firstByte.Update(inSeconds(c.reply.FirstAt() - c.start))
-		g.counts.pause.Update(inSeconds(c.reply.Pause()))
+		g.counts.pause.Update(inSeconds(c.reply.LongestPause()))
 	}
-	g.counts.bytesOut.Add(int(c.reply.Bytes()))
+	g.counts.bytesOut.Add(int(c.reply.BytesWritten()))
 	engine := ""
 	if len(c.tried) > 0 {
 		engine = c.tried[len(c.tried)-1]
 	}
-	if c.err == nil && c.route != nil && c.reply.Status() == http.StatusOK && c.reply.Observed().Ended == framing.Complete {
+	if c.err == nil && c.route != nil && c.reply.Status() == http.StatusOK && c.reply.Observed().End == framing.Complete {
 		g.durations.Whole(c.route.Name, now-c.start)
 	}
 	attrs := []any{
 		"request", c.id, "service", c.service, "engine", engine, "attempts", len(c.tried), "how", c.how, "kept", c.kept, "fetched", c.fetched, "dearer", c.dearer, "read_us", math.Round(c.readTime * microsPerMilli),
 		"load", tenths(c.load), "mean", tenths(c.mean), "status", c.reply.Status(),
-		"late", c.late(now), "first_ms", max(0, c.reply.FirstAt()-c.start), "pause_ms", c.reply.Pause(), "total_ms", now - c.start, "bytes", c.reply.Bytes(),
+		"late", c.late(now), "first_ms", max(0, c.reply.FirstAt()-c.start), "pause_ms", c.reply.LongestPause(), "total_ms", now - c.start, "bytes", c.reply.BytesWritten(),
 	}
-	if a := c.reply.Observed(); a.Framed != "" {
-		attrs = append(attrs, "framed", a.Framed, "ended", a.Ended, "partial", a.Partial)
-		metrics.GetOrCreateCounter(fmt.Sprintf(`weldfall_engine_answers_total{service=%q,framed=%q,ended=%q}`, c.service, a.Framed, a.Ended)).Inc()
+	if a := c.reply.Observed(); a.Framing != "" {
+		attrs = append(attrs, "framed", a.Framing, "ended", a.End, "partial", a.PartialBytes)
+		metrics.GetOrCreateCounter(fmt.Sprintf(`weldfall_engine_answers_total{service=%q,framed=%q,ended=%q}`, c.service, a.Framing, a.End)).Inc()
 	}
-	if c.reply.Began() {
-		attrs = append(attrs, "told", c.reply.Told())
+	if c.reply.Started() {
+		attrs = append(attrs, "told", c.reply.EndForCaller())
 	}
 	if c.route != nil {
 		attrs = append(attrs, "route", c.route.Name, "table", c.table.Version())
 	}
-	if c.err == nil && !c.reply.BrokenOff() {
+	if c.err == nil && !c.reply.Aborted() {
 		if c.note != "" {
 			attrs = append(attrs, "note", c.note)
 		}
 		g.log.Info("answered", attrs...)
 		return
 	}
-	attrs = append(attrs, "cut", c.reply.BrokenOff(), "left_ms", c.until-now)
+	attrs = append(attrs, "cut", c.reply.Aborted(), "left_ms", c.until-now)
 	if c.err != nil {
 		attrs = append(attrs, "filter", c.filter, "verdict", c.err.Verdict(), "reason", c.err.Reason(), "error", c.err.Message())
 	}
--- a/gate/call.go
+++ b/gate/call.go
@@ -110,7 +110,7 @@
 // the first bytes of a stream or all of a plain answer, "pause" for a pause
 // between events, or "" for an answer that was on time.
 func (c *call) late(now clock.Millis) string {
-	if c.route == nil || c.reply.Bytes() == 0 {
+	if c.route == nil || c.reply.BytesWritten() == 0 {
 		return ""
 	}
 	came := now
@@ -120,7 +120,7 @@
 	switch {
 	case c.route.Goal > 0 && came-c.start > c.route.Goal:
 		return "first"
-	case c.route.PauseGoal > 0 && c.reply.Pause() > c.route.PauseGoal:
+	case c.route.PauseGoal > 0 && c.reply.LongestPause() > c.route.PauseGoal:
 		return "pause"
 	}
 	return ""
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -45,7 +45,7 @@
 func (g *Gate) cold(c *call) engines.Cold {
 	s, ok := c.table.Service(c.service)
 	b := g.bounds()
-	if !ok || s.Warmup <= 0 || b.ColdOverrun+b.ColdExtra <= 0 {
+	if !ok || s.Warmup <= 0 || b.WarmupOverrun+b.WarmupExtra <= 0 {
 		return engines.Cold{}
 	}
 	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.coldMost(s, id) }}
@@ -57,7 +57,7 @@
 	part, ok := g.parts[id]
 	if !ok {
 		b := g.bounds()
-		part = g.shares.Of(int(coldPart*(s.WarmupRate*b.ColdOverrun+b.ColdExtra)), id)
+		part = g.shares.Of(int(coldPart*(s.WarmupRate*b.WarmupOverrun+b.WarmupExtra)), id)
 		g.parts[id] = part
 	}
 	return part
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -67,9 +67,9 @@
 	// Evacuation is how long after it was asked for an evacuation may not yet be
 	// in force; zero if the operators give no bound.
 	Evacuation clock.Millis
-	// Leaving is how long after its word a leaving engine may still be sent something
+	// Draining is how long after its word a leaving engine may still be sent something
 	// new; zero if the operators give no bound.
-	Leaving clock.Millis
+	Draining clock.Millis
 	// Change is how long after its publication a change may not yet be in force.
 	Change clock.Millis
 	// Grace is how long a stopping process may go on.
@@ -81,11 +81,11 @@
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow clock.Millis
-	// ColdOverrun and ColdExtra bound what all entries together send to a cold
+	// WarmupOverrun and WarmupExtra bound what all entries together send to a cold
 	// engine in a second: the rate that it bears times the one, and the other.
 	// There is no bound if both are zero.
-	ColdOverrun float64
-	ColdExtra   float64
+	WarmupOverrun float64
+	WarmupExtra   float64
 	// LoadBound is the highest load of an engine as a multiple of the mean.
 	LoadBound float64
 }
--- a/gate/listing.go
+++ b/gate/listing.go
@@ -22,9 +22,9 @@
 	// that told of a later list may tell of its changes: a question, an answer and the time
 	// to take it.
 	wordFor clock.Millis = 300
-	// WordLag is how long word of an entry takes to the last of lagEntries.
-	WordLag clock.Millis = 2000
-	// lagEntries is the number of entries for which WordLag holds.
+	// PropagationLag is how long word of an entry takes to the last of lagEntries.
+	PropagationLag clock.Millis = 2000
+	// lagEntries is the number of entries for which PropagationLag holds.
 	lagEntries = 100
 	// fewEntries is up to how many entries each ask the store, for the list and while it
 	// refuses: that costs few calls, and each hears of a change or a return at once.
@@ -122,20 +122,20 @@
 // would ask nevertheless, and more often. The caller holds mu.
 func (g *Gate) sharesList(now clock.Millis) bool {
 	n := g.fleet.Entries
-	inTime := dueOfLeaving*float64(g.bounds().Leaving) >= float64(wordLag(n))
+	inTime := dueOfLeaving*float64(g.bounds().Draining) >= float64(wordLag(n))
 	return inTime && n > fewEntries && g.listed.Known() && !g.epoch.Doubts(now)
 }
 
 // wordLag returns how long word of an entry takes to the last of n. Each step of its way
 // divides the entries that it has yet to reach, so the steps grow as the logarithm.
 func wordLag(n int) clock.Millis {
-	return clock.Millis(float64(WordLag) * min(1, math.Log(float64(n))/math.Log(lagEntries)))
+	return clock.Millis(float64(PropagationLag) * min(1, math.Log(float64(n))/math.Log(lagEntries)))
 }
 
 // ListDue reports whether the store should be asked for the list of engines, if none asks
 // it: nobody has for a while, or another entry knows a later one.
 func (g *Gate) ListDue() bool {
-	due := dueOfLeaving * float64(g.bounds().Leaving)
+	due := dueOfLeaving * float64(g.bounds().Draining)
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gate/listing_test.go
+++ b/gate/listing_test.go
@@ -21,7 +21,7 @@
 // listGate returns one of many gates, which has just read a list of the given sum.
 func listGate(first bool, sum uint32) (*gate.Gate, *clock.Clock) {
 	clk := clock.System()
-	g := gate.New(gate.Config{Clock: clk, Log: slog.New(slog.DiscardHandler), Bounds: gate.Bounds{Revocation: 5000, Change: 2000, Leaving: leavingBound}})
+	g := gate.New(gate.Config{Clock: clk, Log: slog.New(slog.DiscardHandler), Bounds: gate.Bounds{Revocation: 5000, Change: 2000, Draining: leavingBound}})
 	g.SetFleet(peers.Fleet{Entries: many, First: first})
 	g.StoreEpoch(1, clk.Now())
 	g.ConfirmEngines(sum, clk.Now())
@@ -300,7 +300,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g, _ := listGate(false, 7)
 				g.SetFleet(peers.Fleet{Entries: entries})
-				g.SetBounds(gate.Bounds{Revocation: 5000, Change: 2000, Leaving: leaving})
+				g.SetBounds(gate.Bounds{Revocation: 5000, Change: 2000, Draining: leaving})
 				if got := g.ListShared(); got != want {
 					t.Errorf("%d entries, bound of %d ms for leaving engines: got the list shared %v, want %v", entries, leaving, got, want)
 				}
@@ -333,7 +333,7 @@
 		addr := fmt.Sprintf("10.%d.%d.%d:8605", i%5, i/250, i%250)
 		f.byAddr[addr] = i
 		f.members = append(f.members, peers.NewMembers(peers.Member{Addr: addr}))
-		g := gate.New(gate.Config{ID: addr, Clock: f.clk, Log: slog.New(slog.DiscardHandler), Bounds: gate.Bounds{Revocation: 5000, Change: 2000, Leaving: leaving}})
+		g := gate.New(gate.Config{ID: addr, Clock: f.clk, Log: slog.New(slog.DiscardHandler), Bounds: gate.Bounds{Revocation: 5000, Change: 2000, Draining: leaving}})
 		f.gates = append(f.gates, g)
 	}
 	for _, m := range f.members {
--- a/gate/prompt/prompt.go
+++ b/gate/prompt/prompt.go
@@ -22,9 +22,9 @@
 // tokensMost bounds the tokens of one answer: far more than any has.
 const tokensMost = 1 << 30
 
-// MostTokens returns the most tokens that an answer may have, from a header
+// MaxResponseTokens returns the most tokens that an answer may have, from a header
 // value of the form PROMPT,MOST, or 0 if it does not say.
-func MostTokens(value string) int {
+func MaxResponseTokens(value string) int {
 	_, most, ok := strings.Cut(value, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(most))
 	if !ok || err != nil {
@@ -52,10 +52,10 @@
 	return parts
 }
 
-// Keys hashes the beginnings that other requests may share: one for each part
+// PrefixKeys hashes the beginnings that other requests may share: one for each part
 // but the last, which is a request's own or its session's, from the shortest
-// on. A prompt of one part is hashed whole. Keys are never zero.
-func Keys(parts []Part) []uint64 {
+// on. A prompt of one part is hashed whole. PrefixKeys are never zero.
+func PrefixKeys(parts []Part) []uint64 {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -70,16 +70,16 @@
 	return keys
 }
 
-// OwnTokens returns the length of what is a request's own or its session's.
-func OwnTokens(parts []Part) int {
+// SuffixTokens returns the length of what is a request's own or its session's.
+func SuffixTokens(parts []Part) int {
 	if len(parts) < 2 {
 		return 0
 	}
 	return parts[len(parts)-1].Tokens
 }
 
-// SharedTokens returns the length of what other requests may share.
-func SharedTokens(parts []Part) int {
+// PrefixTokens returns the length of what other requests may share.
+func PrefixTokens(parts []Part) int {
 	if len(parts) == 0 {
 		return 0
 	}
--- a/gate/prompt/prompt_test.go
+++ b/gate/prompt/prompt_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestPromptsThatBeginAlikeShareKeys(t *testing.T) {
-	a := prompt.Keys(prompt.Parse("5c:800,91:410,e4:250"))
-	b := prompt.Keys(prompt.Parse("5c:800,91:410,ff:90"))
-	c := prompt.Keys(prompt.Parse("5c:800,92:410,e4:250"))
+	a := prompt.PrefixKeys(prompt.Parse("5c:800,91:410,e4:250"))
+	b := prompt.PrefixKeys(prompt.Parse("5c:800,91:410,ff:90"))
+	c := prompt.PrefixKeys(prompt.Parse("5c:800,92:410,e4:250"))
 	if len(a) != 2 || !slices.Equal(a, b) {
 		t.Errorf("got keys %v and %v for prompts that differ in their last part, want two equal ones", a, b)
 	}
 	if a[0] != c[0] || a[1] == c[1] {
 		t.Errorf("got keys %v and %v, want the first alone to be equal", a, c)
 	}
-	if got, want := prompt.SharedTokens(prompt.Parse("5c:800,91:410,e4:250")), 1210; got != want {
+	if got, want := prompt.PrefixTokens(prompt.Parse("5c:800,91:410,e4:250")), 1210; got != want {
 		t.Errorf("got %d shared tokens, want %d", got, want)
 	}
 }
@@ -33,7 +33,7 @@
 				t.Errorf("got part %+v of %q", p, text)
 			}
 		}
-		if got := len(prompt.Keys(parts)); len(parts) > 0 && got != max(1, len(parts)-1) {
+		if got := len(prompt.PrefixKeys(parts)); len(parts) > 0 && got != max(1, len(parts)-1) {
 			t.Errorf("got %d keys for %d parts", got, len(parts))
 		}
 	})
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -52,29 +52,29 @@
 
 var _ relay.Exchange = exchange{}
 
-// Stream implements relay.Exchange.
-func (x exchange) Stream() bool { return x.c.route.Kind == table.Stream }
+// WantsStream implements relay.Exchange.
+func (x exchange) WantsStream() bool { return x.c.route.Kind == table.Stream }
 
-// Left implements relay.Exchange.
-func (x exchange) Left() clock.Millis { return x.c.left(x.g.clk.Now()) }
+// TimeLeft implements relay.Exchange.
+func (x exchange) TimeLeft() clock.Millis { return x.c.left(x.g.clk.Now()) }
 
-// LeftForNext implements relay.Exchange.
-func (x exchange) LeftForNext() clock.Millis {
-	left := x.Left()
+// ReadTimeout implements relay.Exchange.
+func (x exchange) ReadTimeout() clock.Millis {
+	left := x.TimeLeft()
 	if r := x.c.route; r.Repeatable() && x.c.ran < r.Attempts {
 		return min(left, max(resumeSilence, clock.Millis(resumePauses*float64(r.PauseGoal))))
 	}
 	return left
 }
 
-// Came implements relay.Exchange.
-func (x exchange) Came() { x.g.heard(x.with, "") }
+// OnRead implements relay.Exchange.
+func (x exchange) OnRead() { x.g.heard(x.with, "") }
 
-// Long implements relay.Exchange.
-func (x exchange) Long() { x.g.durations.Long(x.c.route.Name) }
+// OnUnbuffered implements relay.Exchange.
+func (x exchange) OnUnbuffered() { x.g.durations.Long(x.c.route.Name) }
 
-// Passing implements relay.Exchange.
-func (x exchange) Passing(events int) {
+// OnEvents implements relay.Exchange.
+func (x exchange) OnEvents(events int) {
 	x.c.events = events
 	x.g.learnPace(x.c, x.g.clk.Now())
 }
@@ -106,7 +106,7 @@
 
 // replyTo returns the answer to a call, which has not begun.
 func (g *Gate) replyTo(c *call) *relay.Reply {
-	return relay.New(relay.Config{W: c.w, R: c.r, Clock: g.clk, Head: func(to, from http.Header) {
+	return relay.New(relay.Config{W: c.w, R: c.r, Clock: g.clk, SetHeaders: func(to, from http.Header) {
 		if from != nil {
 			g.copyHead(to, from)
 		}
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -35,19 +35,19 @@
 
 // Exchange is the exchange with an engine of which an answer is part.
 type Exchange interface {
-	// Stream reports whether the answer is to be a stream of events.
-	Stream() bool
-	// Left returns how long the caller waits.
-	Left() clock.Millis
-	// LeftForNext returns how long the engine may take for the next bytes of a stream.
-	LeftForNext() clock.Millis
-	// Came is called when bytes of a stream have come.
-	Came()
-	// Passing is called before events are written, with how many have come in all engines'
+	// WantsStream reports whether the answer is to be a stream of events.
+	WantsStream() bool
+	// TimeLeft returns how long the caller waits.
+	TimeLeft() clock.Millis
+	// ReadTimeout returns how long the engine may take for the next bytes of a stream.
+	ReadTimeout() clock.Millis
+	// OnRead is called when bytes of a stream have come.
+	OnRead()
+	// OnEvents is called before events are written, with how many have come in all engines'
 	// answers.
-	Passing(events int)
-	// Long is called when an answer turns out to be too long to be held.
-	Long()
+	OnEvents(events int)
+	// OnUnbuffered is called when an answer turns out to be too long to be held.
+	OnUnbuffered()
 }
 
 // Ends of streams that are told as broken off, though their framing does not say so.
@@ -56,19 +56,19 @@
 	errInsideEvent = fmt.Errorf("the stream ends inside an event: %w", io.ErrUnexpectedEOF)
 	// errTooLong means that an event is too long to be held until it is whole.
 	errTooLong = errors.New("an event without an end")
-	// ErrUnconfirmed means that the engine that took up a stream did not say that it is
+	// ErrEndUnconfirmed means that the engine that took up a stream did not say that it is
 	// complete, where the reply has begun as one that says so. It is no fault of the engine.
-	ErrUnconfirmed = errors.New("the rest of the stream ends with its connection")
+	ErrEndUnconfirmed = errors.New("the rest of the stream ends with its connection")
 )
 
 // Relay reads an answer to its end and passes it on. The reply begins as late as it can, so
 // that an answer that breaks off early can be told as a failure or taken elsewhere.
 func (p *Reply) Relay(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
-	p.observed = Observed{Framed: framing.Of(head)}
+	p.observed = Observed{Framing: framing.Of(head)}
 	switch {
-	case x.Stream() && head.StatusCode == http.StatusOK && hasEvents(head.Header):
+	case x.WantsStream() && head.StatusCode == http.StatusOK && hasEvents(head.Header):
 		return p.relayStream(ctx, x, head, body)
-	case p.Began():
+	case p.Started():
 		return attempt.Broken{Err: fmt.Errorf("status %d in place of the rest of a stream", head.StatusCode)}
 	}
 	return p.relayPlain(ctx, x, head, body)
@@ -91,14 +91,14 @@
 	if p.end(err); !errors.Is(err, io.EOF) {
 		return brokenOr(ctx, err)
 	}
-	h := &attempt.Held{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.Ended}
+	h := &attempt.Held{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.End}
 	switch {
 	case promises(head.StatusCode):
 		return attempt.Broken{Err: fmt.Errorf("status %d without word that the request did not run", head.StatusCode)}
 	case head.StatusCode >= http.StatusInternalServerError:
 		return attempt.Failed{Answer: h}
 	}
-	p.Hold(h)
+	p.WriteBuffered(h)
 	return attempt.Answered{End: h.End}
 }
 
@@ -114,11 +114,11 @@
 
 // relayLong passes on an answer that is too long to be held.
 func (p *Reply) relayLong(ctx context.Context, x Exchange, head *http.Response, body Body, first []byte) attempt.Outcome {
-	x.Long()
-	p.begin(head.StatusCode, head.Header, p.observed.Framed, head.ContentLength)
+	x.OnUnbuffered()
+	p.begin(head.StatusCode, head.Header, p.observed.Framing, head.ContentLength)
 	// The head's limit no longer holds: nothing can be taken elsewhere now, and
 	// the caller may be slow.
-	body.Limit(x.Left())
+	body.Limit(x.TimeLeft())
 	if err := p.write(first); err != nil {
 		return attempt.CallerGone{}
 	}
@@ -132,7 +132,7 @@
 			continue
 		}
 		if p.end(err); errors.Is(err, io.EOF) {
-			return attempt.Answered{End: p.observed.Ended}
+			return attempt.Answered{End: p.observed.End}
 		}
 		// The caller may have what has come, whatever becomes of the rest.
 		_ = p.flush()
@@ -146,10 +146,10 @@
 func (p *Reply) relayStream(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
 	buf := make([]byte, bufferSize)
 	for {
-		body.Limit(x.LeftForNext())
+		body.Limit(x.ReadTimeout())
 		n, err := body.Read(buf)
 		if n > 0 {
-			x.Came()
+			x.OnRead()
 		}
 		whole, ok := p.split.Add(buf[:n])
 		if !ok {
@@ -174,7 +174,7 @@
 		}
 		switch {
 		case ended:
-			return attempt.Answered{End: p.observed.Ended}
+			return attempt.Answered{End: p.observed.End}
 		case err != nil:
 			return brokenOr(ctx, err)
 		}
@@ -189,31 +189,31 @@
 		return err
 	case p.split.Inside():
 		return errInsideEvent
-	case p.observed.Ended == framing.Closed && p.framed == framing.Chunked:
-		return ErrUnconfirmed
+	case p.observed.End == framing.Closed && p.framed == framing.Chunked:
+		return ErrEndUnconfirmed
 	}
 	return io.EOF
 }
 
 // end records what is known of an answer by the error that ended its reading.
 func (p *Reply) end(err error) {
-	p.observed.Ended = p.observed.Framed.End(err)
+	p.observed.End = p.observed.Framing.End(err)
 	if p.split.Inside() {
-		p.observed.Ended, p.observed.Partial = framing.Incomplete, len(p.split.Pending())
+		p.observed.End, p.observed.PartialBytes = framing.Incomplete, len(p.split.Pending())
 	}
 }
 
 // passEvents writes events and reports whether the caller may still take more.
 func (p *Reply) passEvents(x Exchange, head *http.Response, whole []byte) bool {
-	if !p.Began() {
+	if !p.Started() {
 		f := framing.Chunked
-		if p.observed.Framed == framing.UntilClose {
+		if p.observed.Framing == framing.UntilClose {
 			f = framing.UntilClose
 		}
 		p.begin(head.StatusCode, head.Header, f, 0)
 		p.streams = true
 	}
-	x.Passing(p.split.Count())
+	x.OnEvents(p.split.Count())
 	return p.write(whole) == nil
 }
 
--- a/gate/relay/relay_test.go
+++ b/gate/relay/relay_test.go
@@ -27,12 +27,12 @@
 	long         bool
 }
 
-func (x *exchange) Stream() bool              { return x.stream }
-func (x *exchange) Left() clock.Millis        { return 1000 }
-func (x *exchange) LeftForNext() clock.Millis { return 1000 }
-func (x *exchange) Came()                     { x.came++ }
-func (x *exchange) Passing(events int)        { x.events = events }
-func (x *exchange) Long()                     { x.long = true }
+func (x *exchange) WantsStream() bool         { return x.stream }
+func (x *exchange) TimeLeft() clock.Millis    { return 1000 }
+func (x *exchange) ReadTimeout() clock.Millis { return 1000 }
+func (x *exchange) OnRead()                   { x.came++ }
+func (x *exchange) OnEvents(events int)       { x.events = events }
+func (x *exchange) OnUnbuffered()             { x.long = true }
 
 // body is the body of an answer.
 type body struct{ io.Reader }
@@ -71,7 +71,7 @@
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(method, "/", nil)
 	r.ProtoMajor, r.ProtoMinor, _ = http.ParseHTTPVersion(proto)
-	return relay.New(relay.Config{W: w, R: r, Clock: clock.System(), Head: func(to, from http.Header) {
+	return relay.New(relay.Config{W: w, R: r, Clock: clock.System(), SetHeaders: func(to, from http.Header) {
 		for k, v := range from {
 			if k != "Content-Length" {
 				to[k] = v
@@ -140,10 +140,10 @@
 			if got != tc.outcome {
 				t.Errorf("got outcome %s, want %s", got, tc.outcome)
 			}
-			if a := p.Observed(); a.Ended != tc.ended || a.Partial != tc.partial {
-				t.Errorf("got %s, %d bytes of an event, want %s, %d", a.Ended, a.Partial, tc.ended, tc.partial)
+			if a := p.Observed(); a.End != tc.ended || a.PartialBytes != tc.partial {
+				t.Errorf("got %s, %d bytes of an event, want %s, %d", a.End, a.PartialBytes, tc.ended, tc.partial)
 			}
-			if got := p.Told(); got != tc.told {
+			if got := p.EndForCaller(); got != tc.told {
 				t.Errorf("got told as %q, want %q", got, tc.told)
 			}
 			if got := w.Body.String(); got != tc.body {
@@ -155,12 +155,12 @@
 
 func TestAReplyThatBreaksOffIsToldAsIncomplete(t *testing.T) {
 	p, _ := newReply("HTTP/1.1")
-	p.Fail(http.StatusBadGateway, []byte("{}"))
-	if got, want := p.Told(), framing.Complete; got != want {
+	p.WriteFailure(http.StatusBadGateway, []byte("{}"))
+	if got, want := p.EndForCaller(), framing.Complete; got != want {
 		t.Errorf("got told as %s, want %s", got, want)
 	}
-	p.MarkBroken()
-	if got, want := p.Told(), framing.Incomplete; got != want {
+	p.MarkAborted()
+	if got, want := p.EndForCaller(), framing.Incomplete; got != want {
 		t.Errorf("got told as %s, want %s", got, want)
 	}
 }
--- a/gate/relay/reply.go
+++ b/gate/relay/reply.go
@@ -17,10 +17,10 @@
 type Config struct {
 	W http.ResponseWriter
 	R *http.Request
-	// Head sets the headers that go before an engine's answer, or a failure of our own if
+	// SetHeaders sets the headers that go before an engine's answer, or a failure of our own if
 	// from is nil. It is called once, before the head is written.
-	Head  func(to, from http.Header)
-	Clock *clock.Clock
+	SetHeaders func(to, from http.Header)
+	Clock      *clock.Clock
 }
 
 // Reply is the answer to a caller. It is that of one engine, unless a stream is taken up at
@@ -52,12 +52,12 @@
 
 // Observed is what is known of an engine's answer.
 type Observed struct {
-	// Framed is "" before the answer began.
-	Framed framing.Framing
-	// Ended is "" before the answer has ended.
-	Ended framing.End
-	// Partial is the number of bytes of the event within which a stream ended.
-	Partial int
+	// Framing is "" before the answer began.
+	Framing framing.Framing
+	// End is "" before the answer has ended.
+	End framing.End
+	// PartialBytes is the number of bytes of the event within which a stream ended.
+	PartialBytes int
 }
 
 // New returns a reply that has not begun.
@@ -65,28 +65,28 @@
 	return &Reply{cfg: cfg, rc: http.NewResponseController(cfg.W)}
 }
 
-// Began reports whether the head has been written.
-func (p *Reply) Began() bool { return p.status != 0 }
+// Started reports whether the head has been written.
+func (p *Reply) Started() bool { return p.status != 0 }
 
 // Status returns the status, 0 before the head was written.
 func (p *Reply) Status() int { return p.status }
 
-// MayGoOn reports whether another engine's answer may be the reply, or the rest of it.
-func (p *Reply) MayGoOn() bool { return !p.Began() || p.streams && p.split.Numbered() }
+// CanContinue reports whether another engine's answer may be the reply, or the rest of it.
+func (p *Reply) CanContinue() bool { return !p.Started() || p.streams && p.split.Numbered() }
 
-// MarkBroken has the reply be broken off when its handler ends.
-func (p *Reply) MarkBroken() { p.brokenOff = true }
+// MarkAborted has the reply be broken off when its handler ends.
+func (p *Reply) MarkAborted() { p.brokenOff = true }
 
-// BrokenOff reports whether the reply must be broken off.
-func (p *Reply) BrokenOff() bool { return p.brokenOff }
+// Aborted reports whether the reply must be broken off.
+func (p *Reply) Aborted() bool { return p.brokenOff }
 
 // Observed returns what is known of the latest engine's answer.
 func (p *Reply) Observed() Observed { return p.observed }
 
-// Told returns what the caller can know of the end of the reply, "" before it began.
-func (p *Reply) Told() framing.End {
+// EndForCaller returns what the caller can know of the end of the reply, "" before it began.
+func (p *Reply) EndForCaller() framing.End {
 	switch {
-	case !p.Began():
+	case !p.Started():
 		return ""
 	case p.brokenOff:
 		return framing.Incomplete
@@ -99,8 +99,8 @@
 // LastEventID returns the id of the latest whole event that was passed on, or "".
 func (p *Reply) LastEventID() string { return p.split.LastID() }
 
-// Bytes returns how many bytes of the body were written.
-func (p *Reply) Bytes() int64 { return p.bytes }
+// BytesWritten returns how many bytes of the body were written.
+func (p *Reply) BytesWritten() int64 { return p.bytes }
 
 // FirstAt returns when the first bytes of the body were written, 0 if none were.
 func (p *Reply) FirstAt() clock.Millis { return p.firstAt }
@@ -108,11 +108,11 @@
 // LastAt returns when the latest bytes of the body were written, 0 if none were.
 func (p *Reply) LastAt() clock.Millis { return p.lastAt }
 
-// Pause returns the longest time between two writes.
-func (p *Reply) Pause() clock.Millis { return p.pause }
+// LongestPause returns the longest time between two writes.
+func (p *Reply) LongestPause() clock.Millis { return p.pause }
 
-// Hold writes an answer that was held until its end.
-func (p *Reply) Hold(h *attempt.Held) {
+// WriteBuffered writes an answer that was held until its end.
+func (p *Reply) WriteBuffered(h *attempt.Held) {
 	f := framing.Length
 	if h.End == framing.Closed {
 		f = framing.UntilClose
@@ -130,8 +130,8 @@
 	_ = p.write(h.Body)
 }
 
-// Fail writes a failure of our own, whose headers are already set.
-func (p *Reply) Fail(status int, body []byte) {
+// WriteFailure writes a failure of our own, whose headers are already set.
+func (p *Reply) WriteFailure(status int, body []byte) {
 	p.begin(status, nil, framing.Length, int64(len(body)))
 	// A caller that is gone needs no answer.
 	_ = p.write(body)
@@ -139,7 +139,7 @@
 
 // begin writes the head. The length is that of the body if the reply is framed by it.
 func (p *Reply) begin(status int, from http.Header, f framing.Framing, length int64) {
-	p.cfg.Head(p.cfg.W.Header(), from)
+	p.cfg.SetHeaders(p.cfg.W.Header(), from)
 	switch f {
 	case framing.Length:
 		p.cfg.W.Header().Set("Content-Length", strconv.FormatInt(length, 10))
--- a/gate/relay/streams_test.go
+++ b/gate/relay/streams_test.go
@@ -23,13 +23,13 @@
 	if o, ok := p.Relay(t.Context(), x, head, b).(attempt.Broken); !ok {
 		t.Fatalf("got %T, want broken", o)
 	}
-	if a := p.Observed(); a.Ended != framing.Incomplete {
-		t.Errorf("got an answer that ended %q, want incomplete", a.Ended)
+	if a := p.Observed(); a.End != framing.Incomplete {
+		t.Errorf("got an answer that ended %q, want incomplete", a.End)
 	}
 	head, b = answer(t, "HTTP/1.1 200 OK\r\n"+stream+chunks+chunk("id: 3\ndata: c\n\n")+lastChunk, false)
 	o := p.Relay(t.Context(), x, head, b)
 	if got, want := w.Body.String(), twoEvents+"id: 3\ndata: c\n\n"; got != want {
-		t.Errorf("got %d bytes by %T, told as %s, want the %d of three events", len(got), o, p.Told(), len(want))
+		t.Errorf("got %d bytes by %T, told as %s, want the %d of three events", len(got), o, p.EndForCaller(), len(want))
 	}
 }
 
@@ -84,7 +84,7 @@
 	const part = "id: 1\ndata: a\n\nid: 2\nda"
 	head, b := answer(t, "HTTP/1.1 200 OK\r\nContent-Type: Text/Event-Stream\r\n"+chunks+hex(len(part))+"\r\n"+part+"\r\n"+lastChunk, false)
 	if o, ok := p.Relay(t.Context(), &exchange{stream: true}, head, b).(attempt.Broken); !ok {
-		t.Errorf("got %T and %q, told as %s, want a stream that broke off", o, w.Body.String(), p.Told())
+		t.Errorf("got %T and %q, told as %s, want a stream that broke off", o, w.Body.String(), p.EndForCaller())
 	}
 }
 
--- a/gate/resolve.go
+++ b/gate/resolve.go
@@ -84,7 +84,7 @@
 	c.until = c.start + hold
 	if route.Affine {
 		parts := prompt.Parse(c.r.Header.Get(g.wire.Prompt))
-		c.keys, c.tokens, c.own = prompt.Keys(parts), prompt.SharedTokens(parts), prompt.OwnTokens(parts)
+		c.keys, c.tokens, c.own = prompt.PrefixKeys(parts), prompt.PrefixTokens(parts), prompt.SuffixTokens(parts)
 	}
 	pick := c.id
 	if n := len(c.keys); n > 0 {
--- a/gate/respond.go
+++ b/gate/respond.go
@@ -50,8 +50,8 @@
 
 // respond writes a failure, or breaks off an answer that has begun.
 func (g *Gate) respond(c *call, err *verdict.Error) {
-	if c.reply.Began() || c.reply.BrokenOff() {
-		c.reply.MarkBroken()
+	if c.reply.Started() || c.reply.Aborted() {
+		c.reply.MarkAborted()
 		return
 	}
 	h := c.w.Header()
@@ -60,7 +60,7 @@
 		g.log.Error("problem_not_encoded", "request", c.id, "error", perr)
 	}
 	g.boundRest(c)
-	c.reply.Fail(status, body)
+	c.reply.WriteFailure(status, body)
 }
 
 // boundRest limits the time for the body of a request that is refused before it
--- a/gate/send.go
+++ b/gate/send.go
@@ -38,9 +38,9 @@
 			return err
 		}
 		e, err := g.place(ctx, c)
-		if err != nil && own != nil && !c.reply.Began() {
+		if err != nil && own != nil && !c.reply.Started() {
 			c.note = err.Error()
-			c.reply.Hold(own)
+			c.reply.WriteBuffered(own)
 			return nil
 		}
 		if err != nil {
@@ -60,13 +60,13 @@
 			if cause := context.Cause(ctx); errors.Is(cause, errOverdue) {
 				return verdict.New(c.verdict(), verdict.Deadline, "%w", cause)
 			}
-			c.reply.MarkBroken()
+			c.reply.MarkAborted()
 			return verdict.New(c.verdict(), verdict.CallerGone, "the caller left")
 		case attempt.Failed:
 			own = o.Answer
 			if err := g.again(c, o, e.Info); err != nil {
 				c.note = err.Error()
-				c.reply.Hold(own)
+				c.reply.WriteBuffered(own)
 				return nil
 			}
 		case attempt.Unsent, attempt.Refused, attempt.Broken:
@@ -147,7 +147,7 @@
 	case attempt.Answered:
 		return engines.Good
 	case attempt.Broken:
-		if errors.Is(o.Err, relay.ErrUnconfirmed) {
+		if errors.Is(o.Err, relay.ErrEndUnconfirmed) {
 			return engines.Good
 		}
 		return failedUnless(ctx)
@@ -196,7 +196,7 @@
 		free = c.refused < mostRefused
 		final = verdict.New(c.verdict(), verdict.Overloaded, "%d engines of %s refused", c.refused, c.service)
 	case attempt.Broken:
-		free = c.route.Repeatable() && c.ran < c.route.Attempts && c.suspect().Ended() < mostEnded && c.reply.MayGoOn()
+		free = c.route.Repeatable() && c.ran < c.route.Attempts && c.suspect().Ended() < mostEnded && c.reply.CanContinue()
 		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s: %w", e.ID, o.Err)
 	case attempt.Failed:
 		free = c.route.Repeatable() && c.ran < c.route.Attempts
--- a/gate/server.go
+++ b/gate/server.go
@@ -30,7 +30,7 @@
 	defer g.leave.done(c)
 	defer callers.Follow(ctx, cancel)()
 	g.serve(ctx, c)
-	if c.reply.BrokenOff() {
+	if c.reply.Aborted() {
 		callers.BreakOff(w, r)
 	}
 }
--- a/gate/stay.go
+++ b/gate/stay.go
@@ -86,7 +86,7 @@
 func (g *Gate) expect(c *call) {
 	req := duration.Request{Route: c.route, Service: c.service}
 	if s, ok := c.table.Service(c.service); ok && s.EventTokens > 0 {
-		tokens := prompt.MostTokens(c.r.Header.Get(g.wire.Tokens))
+		tokens := prompt.MaxResponseTokens(c.r.Header.Get(g.wire.Tokens))
 		req.Events = (tokens + s.EventTokens - 1) / s.EventTokens
 		// Events of another size have another pace.
 		req.Service += "/" + strconv.Itoa(s.EventTokens)
