--- a/gate/stay.go
+++ b/gate/stay.go
@@ -86,7 +86,7 @@
 func (g *Gate) expect(c *call) {
 	req := duration.Request{Route: c.route, Service: c.service}
 	if s, ok := c.table.Service(c.service); ok && s.EventTokens > 0 {
-		tokens := prompt.MostTokens(c.r.Header.Get(g.wire.Tokens))
+		tokens := prompt.MaxResponseTokens(c.r.Header.Get(g.wire.Tokens))
 		req.MaxEvents = (tokens + s.EventTokens - 1) / s.EventTokens
 		// Events of another size have another pace.
 		req.Service += "/" + strconv.Itoa(s.EventTokens)
@@ -155,7 +155,7 @@
 	if stillSent {
 		mayRefuse = f.Serving / fewStopping
 	}
-	return f.Serving+f.Later > 0 && f.Earlier < max(1, mayRefuse)
+	return f.Serving+f.StoppingAfter > 0 && f.StoppingBefore < max(1, mayRefuse)
 }
 
 // retryAfterStop is when a request may come back that a stopping entry refused:
@@ -167,7 +167,7 @@
 	g.mu.Lock()
 	f := g.fleet
 	g.mu.Unlock()
-	back := f.HalfEnd
+	back := f.HalfEndedAt
 	switch {
 	case f.Entries <= 1:
 		back = g.Stop().End
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -54,7 +54,7 @@
 	switch f := g.fleet; {
 	case g.mostEntries <= 1:
 		return quarantine.Standalone
-	case f.Serving+f.Earlier+f.Later == 0:
+	case f.Serving+f.StoppingBefore+f.StoppingAfter == 0:
 		return quarantine.Isolated
 	}
 	return quarantine.Connected
@@ -148,18 +148,18 @@
 	return e != nil && e.Unreached()
 }
 
-// ReceiveSuspects implements peers.Facts.
+// ReceiveSuspects implements peers.Host.
 func (g *Gate) ReceiveSuspects(from, packed string) {
 	for _, t := range g.guard.Receive(from, packed, g.isLost) {
 		g.reserve(t.Incarnation, g.clk.Now()+t.Remaining)
 	}
 }
 
-// SpreadSuspects implements peers.Facts.
-func (g *Gate) SpreadSuspects() { g.guard.BroadcastSuspects() }
+// BroadcastSuspects implements peers.Host.
+func (g *Gate) BroadcastSuspects() { g.guard.BroadcastSuspects() }
 
-// SuspectsPending implements peers.Facts.
+// SuspectsPending implements peers.Host.
 func (g *Gate) SuspectsPending() <-chan struct{} { return g.guard.SuspectsPending() }
 
-// TakeSuspects implements peers.Facts.
+// TakeSuspects implements peers.Host.
 func (g *Gate) TakeSuspects() string { return g.guard.TakeSuspects() }
