--- a/engines/quarantine/dark_test.go
+++ b/engines/quarantine/dark_test.go
@@ -125,7 +125,7 @@
 // An entry that has just started takes an end for a suspect's, and a dark engine for less.
 func TestADarkEngineProvesLessWhereNobodyRemembers(t *testing.T) {
 	l := newList()
-	l.SetHistoryLostUntil(60_000)
+	l.SetHistoryUnknownUntil(60_000)
 	dark(l, marked, 1, 1000)
 	if a := l.Admit(marked, false, 1500); a != (quarantine.Allowed{}) {
 		t.Errorf("got %#v after one engine went dark, want it free", a)
--- a/engines/quarantine/guard.go
+++ b/engines/quarantine/guard.go
@@ -175,9 +175,9 @@
 	return verdict.New(v, verdict.HeldBack, "engines ended %d times while they ran this request", h.Strikes).WithRetryAfter(h.RetryAfter)
 }
 
-// SetHistoryLostUntil says until when requests may have ended engines of which no entry knows.
-func (g *Guard) SetHistoryLostUntil(until clock.Millis) {
-	g.withList(func(l *List) { l.SetHistoryLostUntil(until) })
+// SetHistoryUnknownUntil says until when requests may have ended engines of which no entry knows.
+func (g *Guard) SetHistoryUnknownUntil(until clock.Millis) {
+	g.withList(func(l *List) { l.SetHistoryUnknownUntil(until) })
 }
 
 // StartTrial tells others of the engine of a trial, by the mark of its life and its id.
--- a/engines/quarantine/list.go
+++ b/engines/quarantine/list.go
@@ -117,7 +117,7 @@
 	// sweptAt is when old records were last dropped.
 	sweptAt clock.Millis
 	// amnesiaUntil is until when requests may have ended engines of which no entry knows.
-	historyLostUntil clock.Millis
+	historyUnknownUntil clock.Millis
 }
 
 // NewList returns an empty list. ids draws the numbers that tell what entries saw apart.
@@ -146,15 +146,15 @@
 	return l.fingerprints[shape] > 0 || l.broken.fingerprints[shape] > 0
 }
 
-// SetHistoryLostUntil says until when requests may have ended engines of which no entry knows, since
+// SetHistoryUnknownUntil says until when requests may have ended engines of which no entry knows, since
 // all entries have started lately. One end of an engine then makes a suspect, unless others
 // ended with it, and one trial that failed alone holds a request back for some minutes.
-func (l *List) SetHistoryLostUntil(until clock.Millis) { l.historyLostUntil = until }
+func (l *List) SetHistoryUnknownUntil(until clock.Millis) { l.historyUnknownUntil = until }
 
 // isSuspect reports whether a request is only sent alone.
 func (l *List) isSuspect(r *record, now clock.Millis) bool {
 	s := r.strikes()
-	return s >= SuspectStrikes || (s > 0 && now < l.historyLostUntil && !r.crashes[0].unresponsive && l.otherCrashes(r.crashes[0]) <= maxOtherCrashes)
+	return s >= SuspectStrikes || (s > 0 && now < l.historyUnknownUntil && !r.crashes[0].unresponsive && l.otherCrashes(r.crashes[0]) <= maxOtherCrashes)
 }
 
 // Admit says what may be done with a request, and claims the trial if there is to be
@@ -217,7 +217,7 @@
 		return 2 * Retention
 	case isProven(alone, all):
 		return unconfirmedPause
-	case now < l.historyLostUntil && l.hasIsolatedFailure(r):
+	case now < l.historyUnknownUntil && l.hasIsolatedFailure(r):
 		return unconfirmedPause
 	case slices.ContainsFunc(r.crashes, func(e crash) bool { return e.trial }):
 		return retrialPause
--- a/engines/quarantine/list_test.go
+++ b/engines/quarantine/list_test.go
@@ -384,7 +384,7 @@
 // Guards against a request that ends two engines again after all entries lost power.
 func TestOneStrikeMakesASuspectWhileNobodyRemembers(t *testing.T) {
 	l := newList()
-	l.SetHistoryLostUntil(60_000)
+	l.SetHistoryUnknownUntil(60_000)
 	ended(l, marked, 1, 1000)
 	if a, ok := l.Admit(marked, false, 1001).(quarantine.Trial); !ok || a.Strikes != 1 {
 		t.Fatalf("got %+v after one strike, want a trial", a)
@@ -404,7 +404,7 @@
 // One end proves little where many engines end at once, or once an entry remembers.
 func TestOneStrikeInAHerdMakesNoSuspect(t *testing.T) {
 	l := newList()
-	l.SetHistoryLostUntil(60_000)
+	l.SetHistoryUnknownUntil(60_000)
 	ended(l, marked, 1, 1000)
 	for life := range uint32(2) {
 		ended(l, digestOf(2), 2+life, 1050)
@@ -413,9 +413,9 @@
 		t.Errorf("got %T after an end among three, want it free", a)
 	}
 	l = newList()
-	l.SetHistoryLostUntil(60_000)
+	l.SetHistoryUnknownUntil(60_000)
 	ended(l, marked, 1, 1000)
-	l.SetHistoryLostUntil(0)
+	l.SetHistoryUnknownUntil(0)
 	if a, ok := l.Admit(marked, false, 1100).(quarantine.Allowed); !ok {
 		t.Errorf("got %T once an entry remembers, want it free", a)
 	}
--- a/gate/amnesia.go
+++ b/gate/amnesia.go
@@ -21,7 +21,7 @@
 	if !begins {
 		return
 	}
-	g.guard.SetHistoryLostUntil(now + amnesiaFor)
+	g.guard.SetHistoryUnknownUntil(now + amnesiaFor)
 	g.log.Info("strikes_unknown", "for_ms", amnesiaFor)
 }
 
@@ -42,6 +42,6 @@
 	if !ends {
 		return
 	}
-	g.guard.SetHistoryLostUntil(0)
+	g.guard.SetHistoryUnknownUntil(0)
 	g.log.Info("strikes_known", "told_by", from)
 }
