--- a/engines/quarantine/digest.go
+++ b/engines/quarantine/digest.go
@@ -1,5 +1,5 @@
-// Package quarantine tells the requests that end the engines which run them from
-// those that were there by chance.
+// Package quarantine finds the requests that crash the engines which run them, as
+// opposed to requests that were on a crashing engine by coincidence.
 package quarantine
 
 import (
@@ -10,17 +10,17 @@
 	"io"
 )
 
-// Digest names what a caller asked, whatever id an attempt has. Callers choose
-// bodies, so it is cut from a cryptographic sum: with 96 bits nobody finds a request
-// that passes for another's.
+// Digest identifies a request across repeated submissions, whatever their IDs. Clients choose
+// the body, so the digest is a truncated cryptographic hash: at 96 bits it is infeasible to
+// craft a request with the digest of another.
 type Digest [12]byte
 
-// String returns the digest in hex, for logs.
+// String returns the digest in hexadecimal, for logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// RequestKey is what makes two attempts the same request.
+// RequestKey identifies a request, together with its body.
 type RequestKey struct {
-	// Workspace is on whose behalf the request runs, "" if no key is needed.
+	// Workspace is the workspace that the request belongs to, "" if no key is needed.
 	Workspace string
 	Host      string
 	Method    string
@@ -28,17 +28,17 @@
 	URI string
 }
 
-// Hasher makes the digest of a request whose body comes in pieces. Nothing of the
-// body is kept.
+// Hasher computes the digest of a request whose body arrives in chunks. It does not
+// retain the body.
 type Hasher struct{ sum hash.Hash }
 
 var _ io.Writer = (*Hasher)(nil)
 
-// NewHasher begins the digest of a request. Each part goes in with its length, so that
-// none can pass for the beginning or the end of another.
-func NewHasher(a RequestKey) *Hasher {
+// NewHasher returns a Hasher for a request without its body. Each part is hashed with its
+// length, so that moving bytes between adjacent parts changes the digest.
+func NewHasher(key RequestKey) *Hasher {
 	h := &Hasher{sum: sha256.New()}
-	for _, part := range []string{a.Workspace, a.Host, a.Method, a.URI} {
+	for _, part := range []string{key.Workspace, key.Host, key.Method, key.URI} {
 		var n [8]byte
 		binary.BigEndian.PutUint64(n[:], uint64(len(part)))
 		// Writing to a hash does not fail.
@@ -48,16 +48,16 @@
 	return h
 }
 
-// Write takes a piece of the body. It does not fail.
+// Write adds a chunk of the body. It never fails.
 func (h *Hasher) Write(p []byte) (int, error) { return h.sum.Write(p) }
 
-// Digest returns the digest of what was written so far. Of two bodies one of which
-// begins with the other both have their own.
+// Digest returns the digest of the request with the body written so far. It can be called
+// between writes: a body and its prefix have different digests.
 func (h *Hasher) Digest() Digest { return Digest(h.sum.Sum(nil)[:len(Digest{})]) }
 
-// DigestOf returns the digest of a request whose body is at hand.
-func DigestOf(a RequestKey, body []byte) Digest {
-	h := NewHasher(a)
+// DigestOf returns the digest of a request with its complete body.
+func DigestOf(key RequestKey, body []byte) Digest {
+	h := NewHasher(key)
 	_, _ = h.Write(body)
 	return h.Digest()
 }
--- a/engines/quarantine/gossip/gossip.go
+++ b/engines/quarantine/gossip/gossip.go
@@ -1,6 +1,7 @@
-// Package gossip brings word of suspects from one entry to all others: at once, to a few
-// by chance, each of which tells as many when it hears of it first; and by questions, for
-// those whom that misses.
+// Package gossip spreads reports of suspects from one entry to all others. An entry pushes
+// new reports to a few random peers at once, and each of them passes them on when it receives
+// them for the first time. Entries that this misses learn of suspects by comparing what they
+// know with a random peer.
 package gossip
 
 import (
@@ -16,125 +17,127 @@
 )
 
 const (
-	// fanOut is how many others are told of news at once: all but one in twenty know it
-	// after as many steps as the logarithm of the fleet, some ten milliseconds each.
+	// fanout is the number of peers that receive an update at once. All but one in twenty
+	// entries have it after a number of hops logarithmic in the size of the fleet, of about
+	// ten milliseconds each.
 	fanout = 3
-	// newsRate and newsBurst bound what news may take of a process's talk, in bytes a
-	// second and at once: a third of the 5 KB/s that are for all talk.
+	// updateRate and updateBurst limit updates, in bytes per second and bytes. The rate is a
+	// third of the 5 KB/s that a process may use for all messages to its peers.
 	updateRate  = 1700
 	updateBurst = 8 << 10
-	// newsHead is what a message of news has beside the suspects, in bytes.
+	// updateOverhead is the size of an update without its suspects, in bytes.
 	updateOverhead = 64
-	// MaxRequestSuspects and Told are how many suspects a question and an answer tell where both ends
-	// do not know the same.
+	// MaxRequestSuspects and MaxResponseSuspects are the numbers of suspects in a comparison
+	// of entries that know different ones.
 	MaxRequestSuspects  = 4
 	MaxResponseSuspects = 16
-	// compareLimit bounds a question.
+	// compareTimeout limits a comparison.
 	compareTimeout clock.Millis = 1000
 )
 
-// Methods of the messages.
+// JSON-RPC methods.
 const (
-	// MethodTell is a notification of News.
+	// MethodTell is a notification with an Update.
 	MethodTell = "tell_suspects"
-	// MethodCompare is a call with a Summary, answered by one.
+	// MethodCompare is a call with a Summary that returns a Summary.
 	MethodCompare = "compare_suspects"
 )
 
-// Source is what an entry knows of suspects.
+// Source provides and receives reports of suspects.
 type Source interface {
-	// SuspectsPending is sent to when there is word of suspects that others should have at once.
+	// SuspectsPending returns a channel that receives a value when there are reports to send
+	// to peers at once.
 	SuspectsPending() <-chan struct{}
-	// TakeSuspects returns that word, "" if there is none.
+	// TakeSuspects removes and returns those reports in packed form, "" if there are none.
 	TakeSuspects() string
-	// ReceiveSuspects takes what another entry of that id tells, as it came. It may be a
-	// lie.
+	// ReceiveSuspects handles packed reports from the peer with the ID from. They are not
+	// validated and may be false.
 	ReceiveSuspects(from, packed string)
 }
 
-// Summarizer is a Source that can tell what stands for all that it knows.
+// Summarizer is a Source that can summarize the suspects it knows.
 type Summarizer interface {
 	Source
-	// Summarize returns that, and at most n suspects.
+	// Summarize returns a checksum of all suspects, and reports of at most n of them.
 	Summarize(n int) (sum uint64, packed string)
 }
 
-// Config sets up a Gossip.
+// Config configures a Gossip.
 type Config struct {
-	// ID is the id of this entry.
+	// ID is the ID of this entry.
 	ID     string
 	Source Source
 	Links  *link.Pool
-	// RandomPeers returns the addresses of at most n other entries by chance.
+	// RandomPeers returns the addresses of at most n random peers.
 	RandomPeers func(n int) []string
 	Log         *slog.Logger
 }
 
-// Gossip tells others what an entry hears of suspects.
+// Gossip exchanges reports of suspects with peers.
 type Gossip struct{ cfg Config }
 
-// New returns a Gossip that does not run yet.
+// New returns a Gossip. Run and Compare start it.
 func New(cfg Config) *Gossip { return &Gossip{cfg: cfg} }
 
-// Update is word of suspects that did not wait for a question.
+// Update carries new reports of suspects.
 type Update struct {
 	From     string `json:"f"`
 	Suspects string `json:"q"`
 }
 
-// Summary is what an entry knows of suspects.
+// Summary is a checksum of the suspects that an entry knows, with a sample of them.
 type Summary struct {
 	From     string `json:"f"`
 	Sum      uint64 `json:"s,omitempty"`
 	Suspects string `json:"q,omitempty"`
 }
 
-// Run tells others of news at once, until ctx is done. It keeps to newsRate; what is not
-// told then waits.
+// Run sends pending reports to peers until ctx is done. It keeps to updateRate and delays
+// reports that exceed it.
 func (g *Gossip) Run(ctx context.Context) {
-	talk := rate.NewLimiter(updateRate, updateBurst)
+	limiter := rate.NewLimiter(updateRate, updateBurst)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.cfg.Source.SuspectsPending():
 		}
-		for text := g.cfg.Source.TakeSuspects(); text != ""; text = g.cfg.Source.TakeSuspects() {
+		for packed := g.cfg.Source.TakeSuspects(); packed != ""; packed = g.cfg.Source.TakeSuspects() {
 			for _, addr := range g.cfg.RandomPeers(fanout) {
-				// The only error is that of ctx, and then nobody is told.
-				if talk.WaitN(ctx, min(updateBurst, len(text)+updateOverhead)) != nil {
+				// WaitN fails only when ctx is done.
+				if limiter.WaitN(ctx, min(updateBurst, len(packed)+updateOverhead)) != nil {
 					return
 				}
-				go g.send(addr, text)
+				go g.send(addr, packed)
 			}
 		}
 	}
 }
 
-// tell sends news to another entry. Who cannot be reached hears of it from others, or by
-// its next question.
-func (g *Gossip) send(addr, text string) {
+// send sends an update to a peer. A peer that cannot be reached receives it from others or by
+// its next comparison.
+func (g *Gossip) send(addr, packed string) {
 	c, err := g.cfg.Links.Get(addr, link.Control)
 	if err == nil {
-		err = c.Notify(MethodTell, Update{From: g.cfg.ID, Suspects: text})
+		err = c.Notify(MethodTell, Update{From: g.cfg.ID, Suspects: packed})
 	}
 	if err != nil {
 		g.cfg.Log.Debug("news_not_told", "peer", addr, "error", err)
 	}
 }
 
-// HandleUpdate takes a notification of MethodTell.
+// HandleUpdate handles a notification of MethodTell.
 func (g *Gossip) HandleUpdate(params json.RawMessage) {
-	n, err := wire.Decode[Update](MethodTell, params)
+	u, err := wire.Decode[Update](MethodTell, params)
 	if err != nil {
 		g.cfg.Log.Debug("news_not_read", "error", err)
 		return
 	}
-	g.cfg.Source.ReceiveSuspects(n.From, n.Suspects)
+	g.cfg.Source.ReceiveSuspects(u.From, u.Suspects)
 }
 
-// Compare asks another entry by chance what it knows, every period until ctx is done.
-// Processes that talk of suspects with other questions do without.
+// Compare exchanges summaries with a random peer every period until ctx is done. Processes
+// that include suspects in other messages to their peers do not need it.
 func (g *Gossip) Compare(ctx context.Context, s Summarizer, period clock.Millis) {
 	clock.Every(ctx, period, func() {
 		for _, addr := range g.cfg.RandomPeers(1) {
@@ -151,24 +154,25 @@
 		return
 	}
 	sum, packed := s.Summarize(MaxRequestSuspects)
-	var a Summary
-	if err := c.Call(ctx, MethodCompare, Summary{From: g.cfg.ID, Sum: sum, Suspects: packed}, &a); err != nil {
+	var resp Summary
+	if err := c.Call(ctx, MethodCompare, Summary{From: g.cfg.ID, Sum: sum, Suspects: packed}, &resp); err != nil {
 		g.cfg.Log.Debug("compare_failed", "peer", addr, "error", err)
 		return
 	}
-	s.ReceiveSuspects(a.From, a.Suspects)
+	s.ReceiveSuspects(resp.From, resp.Suspects)
 }
 
-// HandleCompare answers a call of MethodCompare.
+// HandleCompare handles a call of MethodCompare. The response contains suspects only if the
+// checksums differ. It fails if params cannot be decoded.
 func (g *Gossip) HandleCompare(s Summarizer, params json.RawMessage) (Summary, error) {
-	q, err := wire.Decode[Summary](MethodCompare, params)
+	req, err := wire.Decode[Summary](MethodCompare, params)
 	if err != nil {
 		return Summary{}, err
 	}
-	s.ReceiveSuspects(q.From, q.Suspects)
-	a := Summary{From: g.cfg.ID}
-	if a.Sum, a.Suspects = s.Summarize(MaxResponseSuspects); a.Sum == q.Sum {
-		a.Suspects = ""
+	s.ReceiveSuspects(req.From, req.Suspects)
+	resp := Summary{From: g.cfg.ID}
+	if resp.Sum, resp.Suspects = s.Summarize(MaxResponseSuspects); resp.Sum == req.Sum {
+		resp.Suspects = ""
 	}
-	return a, nil
+	return resp, nil
 }
--- a/engines/quarantine/guard.go
+++ b/engines/quarantine/guard.go
@@ -13,27 +13,27 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Request is one attempt of a caller.
+// Request is one submission of a request by a client, who may submit the same request again.
+// It spans all attempts that the entry makes for it.
 type Request struct {
 	id   string
 	key  RequestKey
 	body []byte
-	// digest is nil until it was needed, which it is for few requests.
+	// digest is computed on first use, since few requests need it.
 	digest *Digest
-	// ended counts the engines that ended while they had this attempt, and strikes is
-	// what the request had at all entries, as last known.
+	// crashes counts the engines that crashed while they ran this submission. strikes is the
+	// last known count of the strikes that all entries recorded.
 	crashes, strikes int
-	// onTrial is true while this attempt is the one by which it is found out whether the
-	// request ends its engine.
+	// onTrial is set while the current attempt is the trial.
 	onTrial bool
 }
 
-// NewRequest returns an attempt with the given id.
-func NewRequest(id string, a RequestKey, body []byte) *Request {
-	return &Request{id: id, key: a, body: body}
+// NewRequest returns a request with the given ID, which is used in logs.
+func NewRequest(id string, key RequestKey, body []byte) *Request {
+	return &Request{id: id, key: key, body: body}
 }
 
-// Digest names what was asked.
+// Digest returns the digest of the request.
 func (r *Request) Digest() Digest {
 	if r.digest == nil {
 		d := DigestOf(r.key, r.body)
@@ -44,40 +44,41 @@
 
 func (r *Request) fingerprint() uint32 { return Fingerprint(r.key, len(r.body)) }
 
-// Crashes returns how many engines ended while they had this attempt.
+// Crashes returns how many engines crashed while they ran this submission.
 func (r *Request) Crashes() int { return r.crashes }
 
-// Connectivity is how this entry stands with others.
+// Connectivity tells whether this entry can communicate with other entries.
 type Connectivity string
 
 const (
-	// Connected entries hear others.
+	// Connected entries receive messages from others.
 	Connected Connectivity = "in_contact"
-	// Isolated ones know others and hear none.
+	// Isolated entries know of others but receive nothing from them.
 	Isolated Connectivity = "isolated"
-	// Standalone ones know no others.
+	// Standalone entries know of no others.
 	Standalone Connectivity = "single"
 )
 
-// Guard keeps the list of one entry and decides by it. It is safe for concurrent use.
+// Guard maintains the List of one entry and decides which requests may be sent. It is safe
+// for concurrent use.
 type Guard struct {
 	clk *clock.Clock
 	log *slog.Logger
-	// any is true while a request is remembered; requests pass at no cost while none is.
+	// active is set while the list is not empty; otherwise requests skip all checks.
 	active atomic.Bool
-	// news has a token while there is word for others.
+	// pending receives a value while there are reports to send to peers.
 	pending   chan struct{}
 	heldTotal *metrics.Counter
-	// struck counts the attempts under which engines ended.
+	// strikesTotal counts the attempts during which engines crashed.
 	strikesTotal *metrics.Counter
-	// refusedAt is when word of a peer that makes no sense was last logged, 0 if never.
+	// rejectLoggedAt is when invalid reports of a peer were last logged, 0 if never.
 	rejectLoggedAt atomic.Int64
 
 	mu   sync.Mutex
 	list *List
 }
 
-// NewGuard returns a guard that knows of no request.
+// NewGuard returns a Guard with an empty list.
 func NewGuard(clk *clock.Clock, log *slog.Logger) *Guard {
 	g := &Guard{
 		clk: clk, log: log, list: NewList(rand.Uint32), pending: make(chan struct{}, 1),
@@ -87,14 +88,14 @@
 	return g
 }
 
-// with calls f with the list.
+// withList calls f with the list locked, then signals pending reports.
 func (g *Guard) withList(f func(l *List)) {
 	g.mu.Lock()
 	f(g.list)
 	g.active.Store(!g.list.Empty())
-	waiting := g.list.HasPending()
+	hasPending := g.list.HasPending()
 	g.mu.Unlock()
-	if !waiting {
+	if !hasPending {
 		return
 	}
 	select {
@@ -103,34 +104,36 @@
 	}
 }
 
-// count returns how many requests are suspects.
+// suspectCount returns the number of suspects.
 func (g *Guard) suspectCount() float64 {
 	n := 0
 	g.withList(func(l *List) { n, _ = l.Counts() })
 	return float64(n)
 }
 
-// remembered reports whether a request may be one under which an engine ended.
+// mayBeTracked reports whether the list may contain the request. It compares fingerprints,
+// so it can return true for other requests.
 func (g *Guard) mayBeTracked(r *Request) bool {
 	if !g.active.Load() {
 		return false
 	}
-	known := false
-	g.withList(func(l *List) { known = l.MayContain(r.fingerprint()) })
-	return known
+	found := false
+	g.withList(func(l *List) { found = l.MayContain(r.fingerprint()) })
+	return found
 }
 
-// Admit refuses a request under which too many engines ended; v is what is known of this
-// attempt. It reports whether the request must be sent alone, and then Placed or Over must
-// follow.
+// Admit decides whether a request may be sent. It returns an error with the verdict v if the
+// request is held back. If alone is true, the request must be sent as a trial, and the caller
+// must then call StartTrial or EndTrial.
 func (g *Guard) Admit(ctx context.Context, r *Request, v verdict.Verdict, c Connectivity) (alone bool, err *verdict.Error) {
 	if !g.mayBeTracked(r) {
 		return false, nil
 	}
-	// A request that broke off here is sent once more: most were there by chance.
-	cut := c == Isolated && r.crashes == 0
+	// An isolated entry still retries a request whose attempt broke here: most such requests
+	// were on a crashing engine by coincidence.
+	isolated := c == Isolated && r.crashes == 0
 	var a Admission
-	g.withList(func(l *List) { a = l.Admit(r.Digest(), cut, g.clk.Now()) })
+	g.withList(func(l *List) { a = l.Admit(r.Digest(), isolated, g.clk.Now()) })
 	switch a := a.(type) {
 	case Trial:
 		r.strikes = a.Strikes
@@ -146,19 +149,19 @@
 	return false, nil
 }
 
-// claimed waits until all others know of a trial that this entry claimed. It returns why the
-// trial is not to be run after all, nil if it is: another claimed it as well, or told
-// meanwhile what holds the request back.
+// awaitClaim waits until all entries have received this entry's claim of a trial. It returns
+// nil if the trial may start. Otherwise another entry claimed the trial too, or reported in
+// the meantime why the request must be held back.
 func (g *Guard) awaitClaim(ctx context.Context, r *Request, c Connectivity) *Held {
-	slept := c == Standalone || clock.Sleep(ctx, ClaimSettleTime)
+	settled := c == Standalone || clock.Sleep(ctx, ClaimSettleTime)
 	var held *Held
 	g.withList(func(l *List) {
 		now := g.clk.Now()
-		rest := l.RemainingPause(r.Digest(), now)
+		pause := l.RemainingPause(r.Digest(), now)
 		switch {
-		case !slept || rest > 0:
+		case !settled || pause > 0:
 			l.EndTrial(r.Digest(), now)
-			held = &Held{Strikes: l.Strikes(r.Digest()), RetryAfter: max(rest, TrialRetryAfter)}
+			held = &Held{Strikes: l.Strikes(r.Digest()), RetryAfter: max(pause, TrialRetryAfter)}
 		case !l.OwnsTrial(r.Digest(), now):
 			held = &Held{Strikes: r.strikes, RetryAfter: TrialRetryAfter, TrialRunning: true}
 		}
@@ -166,27 +169,30 @@
 	return held
 }
 
-// heldBack is what the caller of a request is told that is not sent.
+// holdBack returns the error for the client of a request that is held back.
 func (g *Guard) holdBack(r *Request, v verdict.Verdict, c Connectivity, h Held) *verdict.Error {
 	r.strikes = h.Strikes
 	g.heldTotal.Inc()
 	g.log.Info("held_back", "request", r.id, "asked", r.Digest(), "strikes", h.Strikes, "last_ms", h.SinceCrash,
 		"trial", h.TrialRunning, "contact", c, "back_ms", h.RetryAfter)
-	return verdict.New(v, verdict.HeldBack, "engines ended %d times while they ran this request", h.Strikes).WithRetryAfter(h.RetryAfter)
+	return verdict.New(v, verdict.HeldBack, "engines crashed %d times while they ran this request", h.Strikes).WithRetryAfter(h.RetryAfter)
 }
 
-// SetHistoryUnknownUntil says until when requests may have ended engines of which no entry knows.
+// SetHistoryUnknownUntil sets the time until which requests may have crashed engines without
+// any entry knowing of it.
 func (g *Guard) SetHistoryUnknownUntil(until clock.Millis) {
 	g.withList(func(l *List) { l.SetHistoryUnknownUntil(until) })
 }
 
-// StartTrial tells others of the engine of a trial, by the mark of its life and its id.
-func (g *Guard) StartTrial(r *Request, life uint32, engine string) {
-	g.withList(func(l *List) { l.StartTrial(r.Digest(), life, g.clk.Now()) })
+// StartTrial records the engine of a trial, which is reported to peers. incarnation is the
+// hash of the engine's incarnation, or 0 if it is not chosen yet; engine is its ID, for logs.
+func (g *Guard) StartTrial(r *Request, incarnation uint32, engine string) {
+	g.withList(func(l *List) { l.StartTrial(r.Digest(), incarnation, g.clk.Now()) })
 	g.log.Info("trial", "request", r.id, "asked", r.Digest(), "strikes", r.strikes, "engine", engine)
 }
 
-// EndTrial records that an attempt ended without telling anything of the request.
+// EndTrial records that an attempt ended without a result that matters to the quarantine. It
+// does nothing if the attempt was no trial.
 func (g *Guard) EndTrial(r *Request) {
 	if !r.onTrial {
 		return
@@ -195,61 +201,62 @@
 	g.withList(func(l *List) { l.EndTrial(r.Digest(), g.clk.Now()) })
 }
 
-// RecordCrash records that an engine ended while it had the attempt, by the mark of its life
-// and its id.
-func (g *Guard) RecordCrash(r *Request, life uint32, engine string) {
+// RecordCrash records that an engine crashed during the attempt. incarnation is the hash of
+// the engine's incarnation, engine its ID.
+func (g *Guard) RecordCrash(r *Request, incarnation uint32, engine string) {
 	r.crashes++
-	a := Attempt{ID: r.id, Digest: r.Digest(), Fingerprint: r.fingerprint(), Incarnation: life, Trial: r.onTrial}
+	a := Attempt{ID: r.id, Digest: r.Digest(), Fingerprint: r.fingerprint(), Incarnation: incarnation, Trial: r.onTrial}
 	r.onTrial = false
 	g.withList(func(l *List) { r.strikes = l.RecordCrash(a, g.clk.Now()) })
 	g.strikesTotal.Inc()
 	g.log.Info("struck", "request", r.id, "asked", r.Digest(), "engine", engine, "strikes", r.strikes, "trial", a.Trial, "ground", "refused")
 }
 
-// RecordBrokenAttempt records that the attempt broke off at an engine, by the mark of its life and its
-// id, of which nothing shows that it ended; silent is true if it gave no sign.
-func (g *Guard) RecordBrokenAttempt(r *Request, life uint32, engine string, silent bool) {
-	a := Attempt{ID: r.id, Digest: r.Digest(), Fingerprint: r.fingerprint(), Incarnation: life, Trial: r.onTrial, Silent: silent}
+// RecordBrokenAttempt records that the attempt broke at an engine without evidence of a
+// crash. silent is true if the engine sent no response, rather than close the connection.
+func (g *Guard) RecordBrokenAttempt(r *Request, incarnation uint32, engine string, silent bool) {
+	a := Attempt{ID: r.id, Digest: r.Digest(), Fingerprint: r.fingerprint(), Incarnation: incarnation, Trial: r.onTrial, Silent: silent}
 	r.onTrial = false
 	g.withList(func(l *List) { l.RecordBrokenAttempt(a, g.clk.Now()) })
 	g.log.Info("broke_off", "request", r.id, "asked", r.Digest(), "engine", engine, "silent", silent, "trial", a.Trial)
 }
 
-// RecordUnresponsive records that an engine went dark, by the mark of its life and its id, under the
-// attempt, which was sent at a time and still waits.
-func (g *Guard) RecordUnresponsive(r *Request, life uint32, engine string, sent clock.Millis) {
-	a := Attempt{ID: r.id, Digest: r.Digest(), Fingerprint: r.fingerprint(), Incarnation: life, Trial: r.onTrial}
+// RecordUnresponsive records that an engine became unresponsive during the attempt, which
+// was sent at sentAt and is still waiting.
+func (g *Guard) RecordUnresponsive(r *Request, incarnation uint32, engine string, sentAt clock.Millis) {
+	a := Attempt{ID: r.id, Digest: r.Digest(), Fingerprint: r.fingerprint(), Incarnation: incarnation, Trial: r.onTrial}
 	r.onTrial = false
-	g.withList(func(l *List) { r.strikes = l.RecordUnresponsive(a, sent, g.clk.Now()) })
+	g.withList(func(l *List) { r.strikes = l.RecordUnresponsive(a, sentAt, g.clk.Now()) })
 	g.strikesTotal.Inc()
 	g.log.Info("struck", "request", r.id, "asked", r.Digest(), "engine", engine, "strikes", r.strikes, "trial", a.Trial, "ground", "dark")
 }
 
-// UnresponsiveIncarnations returns the marks of the lives of engines that went dark under the request.
+// UnresponsiveIncarnations returns the incarnation hashes of the engines that became
+// unresponsive while they had the request.
 func (g *Guard) UnresponsiveIncarnations(r *Request) []uint32 {
 	if !g.mayBeTracked(r) {
 		return nil
 	}
-	var lives []uint32
-	g.withList(func(l *List) { lives = l.UnresponsiveIncarnations(r.Digest()) })
-	return lives
+	var incarnations []uint32
+	g.withList(func(l *List) { incarnations = l.UnresponsiveIncarnations(r.Digest()) })
+	return incarnations
 }
 
-// RecordIncarnationEnd records what showed that an engine ended, by the mark of its life and its id:
-// the attempts that broke off with it are struck.
-func (g *Guard) RecordIncarnationEnd(life uint32, engine, ground string) {
+// RecordIncarnationEnd records evidence that an engine crashed. The attempts that the crash
+// broke become strikes. ground names the evidence in logs.
+func (g *Guard) RecordIncarnationEnd(incarnation uint32, engine, ground string) {
 	if !g.active.Load() {
 		return
 	}
 	var strikes []Strike
-	g.withList(func(l *List) { strikes = l.RecordIncarnationEnd(life, g.clk.Now()) })
+	g.withList(func(l *List) { strikes = l.RecordIncarnationEnd(incarnation, g.clk.Now()) })
 	for _, s := range strikes {
 		g.strikesTotal.Inc()
 		g.log.Info("struck", "request", s.ID, "asked", s.Digest, "engine", engine, "strikes", s.Strikes, "trial", s.Trial, "ground", ground, "late_ms", s.Delay)
 	}
 }
 
-// RecordSuccess records that the attempt ran well.
+// RecordSuccess records that the attempt succeeded, which clears all strikes of the request.
 func (g *Guard) RecordSuccess(r *Request) {
 	if !g.mayBeTracked(r) {
 		return
@@ -265,28 +272,29 @@
 	}
 }
 
-// RecordAlive records that an engine was heard on a connection that came up at a time.
-func (g *Guard) RecordAlive(life uint32, since clock.Millis) {
+// RecordAlive records that data was received from an engine, on a connection that was opened
+// at openedAt.
+func (g *Guard) RecordAlive(incarnation uint32, openedAt clock.Millis) {
 	if g.active.Load() {
-		g.withList(func(l *List) { l.RecordAlive(life, since, g.clk.Now()) })
+		g.withList(func(l *List) { l.RecordAlive(incarnation, openedAt, g.clk.Now()) })
 	}
 }
 
-// ConfirmCrash records that this entry found out by itself that an engine is away.
-func (g *Guard) ConfirmCrash(life uint32) {
+// ConfirmCrash records that this entry itself found an engine to be unreachable.
+func (g *Guard) ConfirmCrash(incarnation uint32) {
 	if g.active.Load() {
-		g.withList(func(l *List) { l.ConfirmCrash(life) })
+		g.withList(func(l *List) { l.ConfirmCrash(incarnation) })
 	}
 }
 
-// Sweep drops what did not come for long.
+// Sweep removes expired records.
 func (g *Guard) Sweep() {
 	if g.active.Load() {
 		g.withList(func(l *List) { l.Sweep(g.clk.Now()) })
 	}
 }
 
-// Summarize returns what stands for all suspects, and at most n of them.
+// Summarize returns a checksum of all suspects and a sample of at most n of them.
 func (g *Guard) Summarize(n int) (sum uint64, packed string) {
 	if !g.active.Load() {
 		return 0, ""
@@ -296,48 +304,49 @@
 	return sum, packed
 }
 
-// SuspectsPending is sent to when there is word that others should have at once.
+// SuspectsPending returns a channel that receives a value when there are reports to send to
+// peers at once.
 func (g *Guard) SuspectsPending() <-chan struct{} { return g.pending }
 
-// TakeSuspects returns that word, of at most NewsMost requests, "" if there is none.
+// TakeSuspects removes and returns at most MaxReports pending reports, "" if there are none.
 func (g *Guard) TakeSuspects() (packed string) {
 	g.withList(func(l *List) { packed = l.TakePending(MaxReports, g.clk.Now()).Pack() })
 	return packed
 }
 
-// BroadcastSuspects has others told of all suspects.
+// BroadcastSuspects queues reports of all suspects for all peers.
 func (g *Guard) BroadcastSuspects() {
 	if g.active.Load() {
 		g.withList(func(l *List) { l.BroadcastSuspects() })
 	}
 }
 
-// newsRefusedEvery bounds the lines on word of peers that makes no sense.
+// rejectLogInterval is the minimum time between log lines on invalid reports of peers.
 const rejectLogInterval clock.Millis = 10_000
 
-// Receive takes what a peer of that id told, as it came. lost reports whether this entry
-// found that a life of an engine cannot be reached. It returns the trials that the peer
-// told of.
-func (g *Guard) Receive(from, packed string, lost func(life uint32) bool) []ReportedTrial {
+// Receive merges packed reports from the peer with the ID from. isLost reports whether this
+// entry found the engine incarnation with the given hash to be unreachable. Receive returns
+// the trials in the reports. Invalid reports are logged and dropped.
+func (g *Guard) Receive(from, packed string, isLost func(incarnation uint32) bool) []ReportedTrial {
 	if packed == "" {
 		return nil
 	}
-	news, err := Unpack(packed)
+	reports, err := Unpack(packed)
 	if err != nil {
 		g.logRejected(from, err)
 		return nil
 	}
 	var trials []ReportedTrial
-	for _, it := range news {
-		if it.Trial != nil {
-			trials = append(trials, *it.Trial)
+	for _, r := range reports {
+		if r.Trial != nil {
+			trials = append(trials, *r.Trial)
 		}
-		g.merge(from, it, lost)
+		g.merge(from, r, isLost)
 	}
 	return trials
 }
 
-// refuse tells of word that makes no sense, now and then.
+// logRejected logs invalid reports of a peer, at most once per rejectLogInterval.
 func (g *Guard) logRejected(from string, err error) {
 	now := g.clk.Now()
 	if last := clock.Millis(g.rejectLoggedAt.Load()); last != 0 && now-last <= rejectLogInterval {
@@ -347,14 +356,14 @@
 	g.log.Warn("news_refused", "from", from, "error", err)
 }
 
-func (g *Guard) merge(from string, it Report, lost func(life uint32) bool) {
-	before, strikes, news := 0, 0, false
+func (g *Guard) merge(from string, r Report, isLost func(incarnation uint32) bool) {
+	before, strikes, changed := 0, 0, false
 	g.withList(func(l *List) {
-		before = l.Strikes(it.Digest)
-		news = l.Merge(it, lost, g.clk.Now())
-		strikes = l.Strikes(it.Digest)
+		before = l.Strikes(r.Digest)
+		changed = l.Merge(r, isLost, g.clk.Now())
+		strikes = l.Strikes(r.Digest)
 	})
-	if news && strikes != before && max(before, strikes) >= SuspectStrikes {
-		g.log.Info("suspect", "asked", it.Digest, "strikes", strikes, "before", before, "told_by", from)
+	if changed && strikes != before && max(before, strikes) >= SuspectStrikes {
+		g.log.Info("suspect", "asked", r.Digest, "strikes", strikes, "before", before, "told_by", from)
 	}
 }
--- a/engines/quarantine/record.go
+++ b/engines/quarantine/record.go
@@ -8,88 +8,89 @@
 )
 
 const (
-	// together is the time within which engines that end are taken to end in one go: a
-	// rack or a service does, and the entries hear of it within some dozen milliseconds.
+	// crashWindow is the time within which engine crashes count as simultaneous. When a rack
+	// or a service fails, entries notice its crashes within some dozens of milliseconds.
 	crashWindow clock.Millis = 200
-	// manyAtOnce is from how many engines on an end in one go counts twice: a caller who
-	// sends a request many times at once ends as many.
+	// largeGroup is the number of simultaneous crashes that count as two strikes: a client
+	// that sends a request many times at once crashes as many engines.
 	largeGroup = 3
-	// oneLife is the time within which the ends of one life that entries tell of are the
-	// same: a life ends once, but where the list of engines is late the next one goes by
-	// its mark, and may end as soon as it has started.
+	// sameCrashTolerance is the time within which crashes of one incarnation are the same
+	// crash, reported by several entries. An incarnation crashes once, but while the list of
+	// engines lags behind, the next incarnation goes by the same hash, and it may crash as
+	// soon as it has started.
 	sameCrashTolerance clock.Millis = 100
-	// endsMost bounds the ends that are remembered of a request: those of two strikes and
-	// of all trials.
+	// maxCrashes limits the crashes in a record: enough for two strikes and all trials.
 	maxCrashes = 8
-	// sentTogether is the time within which copies of a request are taken to be sent at
-	// once.
+	// sendWindow is the time within which copies of a request count as sent at once.
 	sendWindow clock.Millis = 100
-	// drift is by how much the time of what another entry tells may be off: the way
-	// between data halls and the rounding of ages.
+	// ageTolerance is the error of times reported by peers, from the latency between data
+	// halls and the rounding of ages.
 	ageTolerance clock.Millis = 10
-	// aliveAfter is how long after its end word of an engine may still be read that it
-	// sent before.
+	// lateReadGrace is how long after a crash data may still be read that the engine sent
+	// before.
 	lateReadGrace clock.Millis = 1000
 )
 
-// end is the end of an engine while it had a request.
+// crash is a crash of an engine that ran the request.
 type crash struct {
-	// id tells it from others; entries that saw the same end have their own.
+	// id identifies the observation. Entries that observe the same crash use different IDs.
 	id uint32
-	// life is the mark of the life of the engine.
+	// incarnation is the hash of the engine's incarnation.
 	incarnation uint32
 	at          clock.Millis
-	// trial is true if it ran the request alone, to find out.
+	// trial is true if the engine ran the request as a trial.
 	trial bool
-	// confirmed is true if this entry found out by itself that the engine ended.
+	// confirmed is true if this entry itself found that the engine crashed.
 	confirmed bool
-	// dark is true if all that shows it is that the engine went dark. It is then of the
-	// time at which the request was sent there.
+	// unresponsive is true if the only evidence is that the engine became unresponsive. at is
+	// then the time at which the request was sent.
 	unresponsive bool
 }
 
-// well is a run that ended well. An id of its own tells it from others, since the
-// time of one that is passed on is known less exactly each time.
+// success is a successful run. Successes are compared by ID, since their times become less
+// accurate each time they are passed on.
 type success struct {
-	// id is zero if no run is known.
+	// id is zero if no success is known.
 	id uint32
 	at clock.Millis
 }
 
-// trial is a run by which it is found out whether a request ends its engine.
+// trial is a run that tests whether a request crashes its engine.
 type trial struct {
-	// id is zero if there is none.
+	// id is zero if there is no trial.
 	id uint32
-	// life is the mark of the engine that runs it, zero until one is chosen.
+	// incarnation is the hash of the engine's incarnation, zero until an engine is chosen.
 	incarnation uint32
-	// until is when it is over at the latest.
+	// deadline is when the trial is over at the latest.
 	deadline clock.Millis
-	// own is true if this entry began it.
+	// own is true if this entry claimed the trial.
 	own bool
 }
 
 func (t trial) isRunning(now clock.Millis) bool { return t.id != 0 && now < t.deadline }
 
-// record is what is known of one request.
+// record is what an entry knows of one request.
 type record struct {
 	digest      Digest
 	fingerprint uint32
-	// ends are the latest, the earliest first, all later than the latest run that ended
-	// well, and at most manyAtOnce of those in one go. Trials are kept before others.
+	// crashes holds the latest crashes in order of time. All are later than success, and at
+	// most largeGroup of them are simultaneous. If there are too many, those of trials are
+	// kept.
 	crashes []crash
 	success success
-	// trial is the latest one.
+	// trial is the latest trial.
 	trial trial
-	// correctedAt is when another entry last told what a later run had taken back.
+	// correctedAt is when this entry last corrected a peer that reported crashes from before
+	// success.
 	correctedAt clock.Millis
-	// lives are those of the engines by which the record is indexed.
+	// incarnations holds the incarnations under which the record is indexed.
 	incarnations []uint32
-	// usedAt is when the request last came, or something new was heard of it.
+	// usedAt is when the request was last submitted, or new information on it was received.
 	usedAt clock.Millis
 }
 
-// strikes is how often engines ended under the request since it last ran well: those in
-// one go count once, or twice if they are many.
+// strikes returns the number of strikes since the latest success. Simultaneous crashes count
+// once, or twice if there are at least largeGroup of them.
 func (r *record) strikes() int {
 	n := 0
 	for _, group := range groups(r.crashes) {
@@ -101,116 +102,118 @@
 	return n
 }
 
-// isConfirmed reports whether this entry found out any of the ends by itself.
+// isConfirmed reports whether this entry confirmed any of the crashes itself.
 func (r *record) isConfirmed() bool {
-	return slices.ContainsFunc(r.crashes, func(e crash) bool { return e.confirmed })
+	return slices.ContainsFunc(r.crashes, func(c crash) bool { return c.confirmed })
 }
 
-// groups returns the ends that were in one go, from ends of which the earliest is first.
-func groups(ends []crash) [][]crash {
+// groups splits crashes, which are in order of time, into groups of simultaneous ones.
+func groups(crashes []crash) [][]crash {
 	var out [][]crash
-	from := 0
-	for i := range ends {
-		if ends[i].at-ends[from].at > ends[i].groupWindow() {
-			out = append(out, ends[from:i])
-			from = i
+	start := 0
+	for i := range crashes {
+		if crashes[i].at-crashes[start].at > crashes[i].groupWindow() {
+			out = append(out, crashes[start:i])
+			start = i
 		}
 	}
-	if from < len(ends) {
-		out = append(out, ends[from:])
+	if start < len(crashes) {
+		out = append(out, crashes[start:])
 	}
 	return out
 }
 
-// window is the time within which an end is taken to be in one go with an earlier one. Of
-// engines that went dark the times say only when copies were sent.
-func (e crash) groupWindow() clock.Millis {
-	if e.unresponsive {
+// groupWindow returns the time within which the crash is simultaneous with an earlier one.
+// For unresponsive engines, times only tell when the copies of the request were sent.
+func (c crash) groupWindow() clock.Millis {
+	if c.unresponsive {
 		return sendWindow
 	}
 	return crashWindow
 }
 
-// lastEnd is when the latest of the ends was; there is one.
+// lastCrashAt returns the time of the latest crash. There must be one.
 func (r *record) lastCrashAt() clock.Millis { return r.crashes[len(r.crashes)-1].at }
 
-// add records an end and reports whether that is news. Entries may hear of ends in any
-// order; what is not news to one that knows as much must not go round for ever.
-func (r *record) addCrash(e crash) bool {
-	if r.success.id != 0 && e.at <= r.success.at {
+// addCrash adds a crash and reports whether the record changed. Reports arrive in any order,
+// so a crash that adds no information must not count as a change, or entries would pass it on
+// to each other forever.
+func (r *record) addCrash(c crash) bool {
+	if r.success.id != 0 && c.at <= r.success.at {
 		return false
 	}
-	if at := slices.IndexFunc(r.crashes, e.isSame); at >= 0 {
-		r.crashes[at].confirmed = r.crashes[at].confirmed || e.confirmed
+	if i := slices.IndexFunc(r.crashes, c.isSame); i >= 0 {
+		r.crashes[i].confirmed = r.crashes[i].confirmed || c.confirmed
 		return false
 	}
-	if e.unresponsive && slices.ContainsFunc(r.crashes, e.isSameOutage) {
+	if c.unresponsive && slices.ContainsFunc(r.crashes, c.isSameOutage) {
 		return false
 	}
-	ends := slices.Clone(r.crashes)
-	if !e.unresponsive {
-		ends = slices.DeleteFunc(ends, func(o crash) bool { return o.unresponsive && e.isSameOutage(o) })
+	crashes := slices.Clone(r.crashes)
+	if !c.unresponsive {
+		crashes = slices.DeleteFunc(crashes, func(o crash) bool { return o.unresponsive && c.isSameOutage(o) })
 	}
-	ends = append(ends, e)
-	slices.SortStableFunc(ends, func(a, b crash) int { return cmp.Compare(a.at, b.at) })
-	for _, group := range groups(ends) {
-		if len(group) > largeGroup && slices.ContainsFunc(group, e.isSame) {
+	crashes = append(crashes, c)
+	slices.SortStableFunc(crashes, func(a, b crash) int { return cmp.Compare(a.at, b.at) })
+	for _, group := range groups(crashes) {
+		if len(group) > largeGroup && slices.ContainsFunc(group, c.isSame) {
 			return false
 		}
 	}
-	r.crashes = trimCrashes(ends)
-	return slices.ContainsFunc(r.crashes, e.isSame)
+	r.crashes = trimCrashes(crashes)
+	return slices.ContainsFunc(r.crashes, c.isSame)
 }
 
-// latest returns at most endsMost of ends of which the earliest is first. Trials are kept
-// before others: they are the proof, and word of an end that came late may count twice.
-func trimCrashes(ends []crash) []crash {
-	for len(ends) > maxCrashes {
-		drop := max(0, slices.IndexFunc(ends, func(e crash) bool { return !e.trial }))
-		ends = slices.Delete(ends, drop, drop+1)
+// trimCrashes drops the oldest crashes beyond maxCrashes. It keeps trials as long as there
+// are others: they are the proof, and a late report may make another crash count twice.
+func trimCrashes(crashes []crash) []crash {
+	for len(crashes) > maxCrashes {
+		drop := max(0, slices.IndexFunc(crashes, func(c crash) bool { return !c.trial }))
+		crashes = slices.Delete(crashes, drop, drop+1)
 	}
-	return ends
+	return crashes
 }
 
-// same reports whether two ends are the same.
-func (e crash) isSame(o crash) bool {
-	apart := e.at - o.at
-	return e.id == o.id || (e.incarnation == o.incarnation && max(apart, -apart) <= sameCrashTolerance)
+// isSame reports whether two observations are of the same crash.
+func (c crash) isSame(o crash) bool {
+	diff := c.at - o.at
+	return c.id == o.id || (c.incarnation == o.incarnation && max(diff, -diff) <= sameCrashTolerance)
 }
 
-// again reports whether two ends of which one is known by a dark engine alone are of the
-// same darkness: what is sent to an engine that is dark shows nothing more.
-func (e crash) isSameOutage(o crash) bool {
-	apart := e.at - o.at
-	return e.incarnation == o.incarnation && max(apart, -apart) <= brokenRetention
+// isSameOutage reports whether two observations, at least one of which is of an unresponsive
+// engine, belong to the same outage. Requests that are sent to an engine that is already
+// unresponsive prove nothing more.
+func (c crash) isSameOutage(o crash) bool {
+	diff := c.at - o.at
+	return c.incarnation == o.incarnation && max(diff, -diff) <= brokenRetention
 }
 
-// ranWell records a run that ended well, and reports whether that is news.
-func (r *record) addSuccess(w success) bool {
-	if w.id == r.success.id {
-		r.success.at = min(r.success.at, w.at)
+// addSuccess records a success, and reports whether the record changed.
+func (r *record) addSuccess(s success) bool {
+	if s.id == r.success.id {
+		r.success.at = min(r.success.at, s.at)
 		return false
 	}
-	if r.success.id != 0 && w.at <= r.success.at {
+	if r.success.id != 0 && s.at <= r.success.at {
 		return false
 	}
-	r.success = w
-	r.crashes = slices.DeleteFunc(r.crashes, func(e crash) bool { return e.at <= w.at })
+	r.success = s
+	r.crashes = slices.DeleteFunc(r.crashes, func(c crash) bool { return c.at <= s.at })
 	return true
 }
 
-// tried records a trial or its end, and reports whether that is news. Of two that are
-// under way at once, since entries claimed them before they heard of each other, the one
-// with the smaller number counts.
+// mergeTrial records a trial or its end, and reports whether the record changed. If two
+// entries claimed trials before they received each other's claim, the one with the smaller ID
+// wins.
 func (r *record) mergeTrial(t trial, now clock.Millis) bool {
 	switch {
 	case t.id == r.trial.id && r.trial.incarnation == 0 && t.incarnation != 0:
 		r.trial.incarnation, r.trial.deadline = t.incarnation, t.deadline
 		return true
 	case t.id == r.trial.id:
-		news := t.deadline < r.trial.deadline-crashWindow
+		changed := t.deadline < r.trial.deadline-crashWindow
 		r.trial.deadline = min(r.trial.deadline, t.deadline)
-		return news
+		return changed
 	case t.id == 0, !t.isRunning(now), r.trial.isRunning(now) && r.trial.id < t.id:
 		return false
 	}
@@ -218,20 +221,21 @@
 	return true
 }
 
-// alive takes back that an engine ended that was heard now on a connection which is older
-// than that, or that it is dark, and reports whether it changed anything.
-func (r *record) removeRefuted(life uint32, since, now clock.Millis) bool {
+// removeRefuted removes the crashes of an incarnation that are refuted by data received now on
+// a connection that was opened at openedAt: those after openedAt, and those for which the
+// engine was merely unresponsive. It reports whether it removed any.
+func (r *record) removeRefuted(incarnation uint32, openedAt, now clock.Millis) bool {
 	n := len(r.crashes)
-	r.crashes = slices.DeleteFunc(r.crashes, func(e crash) bool {
-		return e.incarnation == life && (e.unresponsive || since+ageTolerance < e.at) && now > e.at+lateReadGrace
+	r.crashes = slices.DeleteFunc(r.crashes, func(c crash) bool {
+		return c.incarnation == incarnation && (c.unresponsive || openedAt+ageTolerance < c.at) && now > c.at+lateReadGrace
 	})
 	return len(r.crashes) != n
 }
 
-// confirm records that this entry found out by itself that an engine ended.
-func (r *record) confirm(life uint32) {
+// confirm marks the crashes of an incarnation as confirmed by this entry.
+func (r *record) confirm(incarnation uint32) {
 	for i := range r.crashes {
-		if r.crashes[i].incarnation == life && !r.crashes[i].unresponsive {
+		if r.crashes[i].incarnation == incarnation && !r.crashes[i].unresponsive {
 			r.crashes[i].confirmed = true
 		}
 	}
