--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -227,8 +227,8 @@
 // state is what the decision needs beside the engine's own state.
 func (d *Daemon) state(r wire.Run) route.State {
 	engines, mean := d.node.PoolLoad(d.cfg.Pool)
-	if r.Mean >= 0 {
-		mean = r.Mean
+	if r.MeanLoad >= 0 {
+		mean = r.MeanLoad
 	}
 	return route.State{
 		Mean: mean, Engines: engines, Bound: r.LoadBound, Floor: r.LoadFloor,
@@ -240,7 +240,7 @@
 func (d *Daemon) serve(e *engine, a *attempt, turn <-chan fair.Item) {
 	deadline := make(chan struct{})
 	go func() {
-		if d.clk.SleepUntil(a.ctx, d.clk.Now()+a.run.Left) {
+		if d.clk.SleepUntil(a.ctx, d.clk.Now()+a.run.Remaining) {
 			close(deadline)
 		}
 	}()
@@ -319,7 +319,7 @@
 
 // resume takes up the answer of an attempt on a new connection.
 func (d *Daemon) resume(c *link.Conn, r wire.Resume) wire.Result {
-	if r.Boot != link.Boot() {
+	if r.BootID != link.BootID() {
 		return wire.Result{Verdict: verdict.MayHaveRun, Reason: verdict.LinkLost, Message: "the daemon was replaced while the request ran"}
 	}
 	a := d.attempts.findOrFence(r.Attempt, d.clk.Now())
@@ -333,7 +333,7 @@
 
 // cancel gives an attempt up for an entry.
 func (d *Daemon) cancel(r wire.Cancel) wire.Canceled {
-	if r.Boot != link.Boot() {
+	if r.BootID != link.BootID() {
 		return wire.Canceled{Verdict: verdict.MayHaveRun}
 	}
 	a := d.attempts.findOrFence(r.Attempt, d.clk.Now())
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -71,7 +71,7 @@
 		return wire.Result{Verdict: verdict.MayHaveRun, Reason: verdict.CallerGone, Message: "given up while it ran"}
 	}
 	return wire.Result{
-		Verdict: verdict.MayHaveRun, Reason: verdict.EngineFailed, Message: fmt.Sprintf("engine %s: %v", e.id, err), Ended: e.endedLife(err),
+		Verdict: verdict.MayHaveRun, Reason: verdict.EngineFailed, Message: fmt.Sprintf("engine %s: %v", e.id, err), EndedIncarnation: e.endedLife(err),
 	}
 }
 
@@ -102,7 +102,7 @@
 	head := e.headOf(res)
 	framed := framing.Of(res)
 	if framed == framing.UntilClose {
-		head.EndUntilClose()
+		head.MarkEndsUntilClose()
 	}
 	for {
 		piece := make([]byte, pieceBytes)
@@ -144,7 +144,7 @@
 	}
 	head := e.headOf(res)
 	if !knownWhole(res, body) {
-		head.EndUntilClose()
+		head.MarkEndsUntilClose()
 	}
 	a.addHeld(head, body)
 	return wire.Result{Verdict: verdict.Ran}
--- a/daemon/relay_test.go
+++ b/daemon/relay_test.go
@@ -99,7 +99,7 @@
 		Attempt: attempt, Request: fmt.Sprint("r", attempt), Engine: "e", Partner: "p", Workspace: "w", PartnerShare: 1, WorkspaceShare: 1,
 		Chat: attempt, Mode: wire.ModeNormal, Method: http.MethodPost, Path: "/v1/chat/completions", Stream: true,
 		Body: []byte(fmt.Sprintf(`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, tokens)),
-		Cost: 10, Left: 60_000, Mean: -1, LoadBound: 1.25, LoadFloor: 2, QueueLimit: 10,
+		Cost: 10, Remaining: 60_000, MeanLoad: -1, LoadBound: 1.25, LoadFloor: 2, QueueLimit: 10,
 	}
 }
 
--- a/daemon/verdict_test.go
+++ b/daemon/verdict_test.go
@@ -24,13 +24,13 @@
 
 func TestAnAttemptGivenUpBeforeItArrivesIsTurnedAway(t *testing.T) {
 	c := start(t, &sink{})
-	if got := call[wire.Canceled](t, c, wire.MethodCancel, wire.Cancel{Attempt: 9, Boot: link.Boot()}); got.Verdict != verdict.NotRun {
+	if got := call[wire.Canceled](t, c, wire.MethodCancel, wire.Cancel{Attempt: 9, BootID: link.BootID()}); got.Verdict != verdict.NotRun {
 		t.Errorf("cancel: got %q, want not_run", got.Verdict)
 	}
 	if got := call[wire.Result](t, c, wire.MethodRun, run(9, 5)); got.Verdict != verdict.NotRun || !got.Refused {
 		t.Errorf("late arrival: got %+v, want it refused", got)
 	}
-	if got := call[wire.Result](t, c, wire.MethodResume, wire.Resume{Attempt: 10, Boot: link.Boot()}); got.Verdict != verdict.NotRun || !got.Refused {
+	if got := call[wire.Result](t, c, wire.MethodResume, wire.Resume{Attempt: 10, BootID: link.BootID()}); got.Verdict != verdict.NotRun || !got.Refused {
 		t.Errorf("resume of one that never came: got %+v, want it refused", got)
 	}
 	if got := call[wire.Result](t, c, wire.MethodRun, run(10, 5)); !got.Refused {
@@ -41,10 +41,10 @@
 func TestAReplacedDaemonDoesNotSpeakForTheOneBefore(t *testing.T) {
 	c := start(t, &sink{})
 	const before = 12345
-	if got := call[wire.Result](t, c, wire.MethodResume, wire.Resume{Attempt: 9, Boot: before}); got.Verdict != verdict.MayHaveRun {
+	if got := call[wire.Result](t, c, wire.MethodResume, wire.Resume{Attempt: 9, BootID: before}); got.Verdict != verdict.MayHaveRun {
 		t.Errorf("resume: got %+v, want may_have_run", got)
 	}
-	if got := call[wire.Canceled](t, c, wire.MethodCancel, wire.Cancel{Attempt: 9, Boot: before}); got.Verdict != verdict.MayHaveRun {
+	if got := call[wire.Canceled](t, c, wire.MethodCancel, wire.Cancel{Attempt: 9, BootID: before}); got.Verdict != verdict.MayHaveRun {
 		t.Errorf("cancel: got %+v, want may_have_run", got)
 	}
 }
@@ -52,7 +52,7 @@
 func TestADeadlineInTheQueueIsNotRunAndOneWhileItRunsMayHaveRun(t *testing.T) {
 	c := startSlow(t, &sink{})
 	first, second := run(1, 200), run(2, 200)
-	first.Left, second.Left = 1500, 200
+	first.Remaining, second.Remaining = 1500, 200
 	done := make(chan wire.Result)
 	go func() { done <- call[wire.Result](t, c, wire.MethodRun, first) }()
 	clock.Sleep(context.Background(), 100)
@@ -69,7 +69,7 @@
 	results := make(chan wire.Result, 3)
 	for i := range uint64(3) {
 		r := run(i+1, 300)
-		r.QueueLimit, r.Left = 1, 800
+		r.QueueLimit, r.Remaining = 1, 800
 		go func() { results <- call[wire.Result](t, c, wire.MethodRun, r) }()
 		clock.Sleep(context.Background(), 50)
 	}
--- a/engines/offer/offer.go
+++ b/engines/offer/offer.go
@@ -72,7 +72,7 @@
 		return attempt.Unsent{Err: verdict.New(verdict.NotRun, verdict.Unreachable, "daemon %s: %w", to.ID, err)}, wire.Result{}
 	}
 	run.Attempt = max(1, rand.Uint64())
-	a := &sending{o: o, w: w, id: run.Attempt, to: to, boot: conn.PeerBoot(), in: o.inboxes.open(run.Attempt), answer: framing.Complete}
+	a := &sending{o: o, w: w, id: run.Attempt, to: to, boot: conn.PeerBootID(), in: o.inboxes.open(run.Attempt), answer: framing.Complete}
 	defer o.inboxes.close(run.Attempt)
 	a.start(conn, wire.MethodRun, run)
 	return a.wait(ctx)
@@ -195,7 +195,7 @@
 			continue
 		}
 		metrics.GetOrCreateCounter("weldfall_resumes_total").Inc()
-		a.start(conn, wire.MethodResume, wire.Resume{Attempt: a.id, From: a.in.due(), Boot: a.boot})
+		a.start(conn, wire.MethodResume, wire.Resume{Attempt: a.id, From: a.in.due(), BootID: a.boot})
 		return nil
 	}
 	a.o.beliefs.Unreachable(a.to.ID)
@@ -250,7 +250,7 @@
 		return false
 	}
 	var got wire.Canceled
-	if err := conn.Call(ctx, wire.MethodCancel, wire.Cancel{Attempt: a.id, Boot: a.boot}, &got); err != nil {
+	if err := conn.Call(ctx, wire.MethodCancel, wire.Cancel{Attempt: a.id, BootID: a.boot}, &got); err != nil {
 		return false
 	}
 	return got.Verdict == verdict.NotRun
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -26,7 +26,7 @@
 	if c.once == nil || c.once.Key == 0 {
 		return nil
 	}
-	if once.Expired(c.once.Born, c.once.Window, e.clk.Wall()) {
+	if once.Expired(c.once.CreatedAt, c.once.Window, e.clk.Wall()) {
 		return verdict.New(verdict.MayHaveRun, verdict.UnknownHistory, "the key is older than once.window_ms")
 	}
 	witnesses, gone, cutOff := e.node.Witnesses(c.once.Key, c.once.Window)
@@ -35,8 +35,8 @@
 	}
 	c.witnesses = witnesses
 	attempt := max(1, rand.Uint64())
-	msg := wire.Claim{Key: c.once.Key, Attempt: attempt, Born: c.once.Born, Window: c.once.Window}
-	if c.once.Born > 0 {
+	msg := wire.Claim{Key: c.once.Key, Attempt: attempt, CreatedAt: c.once.CreatedAt, Window: c.once.Window}
+	if c.once.CreatedAt > 0 {
 		// A key that was born after they left cannot have been theirs.
 		gone = e.goneSince(c.once, gone)
 	}
@@ -57,7 +57,7 @@
 
 // goneSince leaves out replacements from before a timed key was born.
 func (e *Entry) goneSince(o *wire.Once, gone int) int {
-	age := e.clk.Wall() - o.Born + once.Skew
+	age := e.clk.Wall() - o.CreatedAt + once.Skew
 	_, since, _ := e.node.Witnesses(o.Key, min(o.Window, age))
 	return min(gone, since)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -232,7 +232,7 @@
 	}
 	return &call{
 		w: w, r: r, service: service, startMicros: e.clk.Micros(), start: e.clk.Now(),
-		id: fmt.Sprintf("%s-%x-%d", e.cfg.ID, link.Boot()&0xffffff, e.seq.Add(1)),
+		id: fmt.Sprintf("%s-%x-%d", e.cfg.ID, link.BootID()&0xffffff, e.seq.Add(1)),
 	}
 }
 
--- a/entry/send.go
+++ b/entry/send.go
@@ -143,8 +143,8 @@
 		Chat:   c.chatKey,
 		Method: c.r.Method, Path: targetPath(c), Header: targetHeader(c.r), Body: c.body,
 		Stream: c.chat.Stream(), WantUsage: c.chat.WantUsage(),
-		Cost: c.chat.Cost(len(c.body)), Left: c.left(e.clk.Now()), Once: c.once,
-		Mean: mean, LoadBound: v.Routing.LoadBound, LoadFloor: v.Routing.LoadFloor, QueueLimit: v.Limits.QueuePerEngine, Loads: e.node.FreshLoads(),
+		Cost: c.chat.Cost(len(c.body)), Remaining: c.left(e.clk.Now()), Once: c.once,
+		MeanLoad: mean, LoadBound: v.Routing.LoadBound, LoadFloor: v.Routing.LoadFloor, QueueLimit: v.Limits.QueuePerEngine, Loads: e.node.FreshLoads(),
 	}
 }
 
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -60,8 +60,8 @@
 
 // learnEnd records what the end of an attempt tells of the request.
 func (e *Entry) learnEnd(c *call, o attempt.Outcome, res wire.Result) {
-	if res.Ended != 0 {
-		e.guard.RecordCrash(c.suspect(), res.Ended, c.offered)
+	if res.EndedIncarnation != 0 {
+		e.guard.RecordCrash(c.suspect(), res.EndedIncarnation, c.offered)
 	}
 	if a, ok := o.(attempt.Answered); ok && a.End == framing.Complete {
 		e.guard.RecordSuccess(c.suspect())
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -109,7 +109,7 @@
 		return
 	}
 	news := n.learn(res.Items)
-	n.store.Learn(wire.Exchanged{Upto: res.Upto, Fresh: res.Fresh}, n.clk.Now())
+	n.store.Learn(wire.Exchanged{Upto: res.Upto, PlatformAge: res.PlatformAge}, n.clk.Now())
 	leaving := n.learnLeaving(res.Leaving)
 	n.sample(res.Loads)
 	n.heardPeers[id] = true
@@ -242,7 +242,7 @@
 		if it.Topic == wire.TopicBranches && role != member.Entry {
 			continue
 		}
-		if used += len(it.Value) + len(it.Good); used > pushBytes && len(out) > 0 {
+		if used += len(it.Value) + len(it.LastGood); used > pushBytes && len(out) > 0 {
 			break
 		}
 		out = append(out, it)
--- a/fleet/handle.go
+++ b/fleet/handle.go
@@ -56,7 +56,7 @@
 		}
 		n.applySetting(it)
 		if kept, ok := n.store.Get(it.Topic, it.Key); ok && kept.Rev == it.Rev {
-			news[i].Good, news[i].GoodRev = kept.Good, kept.GoodRev
+			news[i].LastGood, news[i].LastGoodRev = kept.LastGood, kept.LastGoodRev
 		}
 	}
 	return news
@@ -109,11 +109,11 @@
 		n.tree.Remove(it.Key, it.Rev)
 		return
 	}
-	if it.Good != "" {
+	if it.LastGood != "" {
 		// A process that missed the last good value before a bad one, or
 		// started after it, still puts it in force.
-		if err := n.tree.ApplyGood(it.Key, it.Good, it.GoodRev); err != nil {
-			n.cfg.Log.Warn("settings_invalid", "path", it.Key, "revision", it.GoodRev, "error", err)
+		if err := n.tree.ApplyGood(it.Key, it.LastGood, it.LastGoodRev); err != nil {
+			n.cfg.Log.Warn("settings_invalid", "path", it.Key, "revision", it.LastGoodRev, "error", err)
 		}
 	}
 	applied, err := n.tree.Apply(it.Key, it.Value, it.Rev)
--- a/fleet/once/claim.go
+++ b/fleet/once/claim.go
@@ -120,7 +120,7 @@
 	switch {
 	case g.Granted:
 		t.granted++
-		if g.Young {
+		if g.StartedLate {
 			t.young++
 		}
 	case g.Holder != 0:
--- a/fleet/once/once_test.go
+++ b/fleet/once/once_test.go
@@ -39,7 +39,7 @@
 func TestAWitnessRemembersForTheWindowAndNotForever(t *testing.T) {
 	w := once.NewWitness(0, 1_000_000, 100)
 	c := wire.Claim{Key: 1, Attempt: 7, Window: 60_000}
-	if g := w.Claim(c, 100_000, 1_100_000); !g.Granted || g.Young {
+	if g := w.Claim(c, 100_000, 1_100_000); !g.Granted || g.StartedLate {
 		t.Errorf("first: got %+v, want granted by an old witness", g)
 	}
 	other := wire.Claim{Key: 1, Attempt: 8, Window: 60_000}
@@ -62,13 +62,13 @@
 
 func TestAYoungWitnessSaysSo(t *testing.T) {
 	w := once.NewWitness(0, 1_000_000, 100)
-	if g := w.Claim(wire.Claim{Key: 1, Attempt: 1, Window: 60_000}, 30_000, 1_030_000); !g.Young {
+	if g := w.Claim(wire.Claim{Key: 1, Attempt: 1, Window: 60_000}, 30_000, 1_030_000); !g.StartedLate {
 		t.Errorf("untimed key: got %+v, want young", g)
 	}
-	if g := w.Claim(wire.Claim{Key: 2, Attempt: 1, Window: 60_000, Born: 1_020_000}, 30_000, 1_030_000); g.Young {
+	if g := w.Claim(wire.Claim{Key: 2, Attempt: 1, Window: 60_000, CreatedAt: 1_020_000}, 30_000, 1_030_000); g.StartedLate {
 		t.Errorf("key born after the start: got %+v, want not young", g)
 	}
-	if g := w.Claim(wire.Claim{Key: 3, Attempt: 1, Window: 60_000, Born: 900_000}, 30_000, 1_030_000); g.Granted {
+	if g := w.Claim(wire.Claim{Key: 3, Attempt: 1, Window: 60_000, CreatedAt: 900_000}, 30_000, 1_030_000); g.Granted {
 		t.Errorf("key older than the window: got %+v, want no promise", g)
 	}
 }
@@ -208,7 +208,7 @@
 	daemons := f.view(list)
 	ws, gone := once.Choose(key, daemons)
 	tally := once.NewTally(len(ws), gone)
-	msg := wire.Claim{Key: key, Attempt: attempt, Born: born, Window: window}
+	msg := wire.Claim{Key: key, Attempt: attempt, CreatedAt: born, Window: window}
 	for _, w := range ws {
 		witness := f.witnesses[w.ID]
 		if witness == nil || rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
--- a/fleet/once/witness.go
+++ b/fleet/once/witness.go
@@ -59,22 +59,22 @@
 	w.expire(now)
 	young := w.young(c, now)
 	if r, ok := w.records[c.Key]; ok {
-		return wire.Grant{Granted: r.attempt == c.Attempt, Holder: r.attempt, Young: young}
+		return wire.Grant{Granted: r.attempt == c.Attempt, Holder: r.attempt, StartedLate: young}
 	}
-	if c.Window <= 0 || Expired(c.Born, c.Window, wall) || len(w.records) >= w.max {
-		return wire.Grant{Young: young}
+	if c.Window <= 0 || Expired(c.CreatedAt, c.Window, wall) || len(w.records) >= w.max {
+		return wire.Grant{StartedLate: young}
 	}
 	until := now + c.Window + 2*Skew
 	w.records[c.Key] = record{c.Attempt, until}
 	w.expiry[c.Window] = append(w.expiry[c.Window], dated{c.Key, until})
-	return wire.Grant{Granted: true, Young: young}
+	return wire.Grant{Granted: true, StartedLate: young}
 }
 
 // young reports whether an earlier promise on the key could have been lost
 // with an earlier process.
 func (w *Witness) young(c wire.Claim, now clock.Millis) bool {
-	if c.Born > 0 {
-		return c.Born < w.startedWall+Skew
+	if c.CreatedAt > 0 {
+		return c.CreatedAt < w.startedWall+Skew
 	}
 	return now-w.started < c.Window+2*Skew
 }
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -121,9 +121,9 @@
 	if known && it.Rev <= old.Rev {
 		return st.addGood(old, it)
 	}
-	if known && it.Good == "" && !it.Gone {
+	if known && it.LastGood == "" && !it.Gone {
 		// The last good value goes along until a valid one comes.
-		it.Good, it.GoodRev = old.Good, old.GoodRev
+		it.LastGood, it.LastGoodRev = old.LastGood, old.LastGoodRev
 	}
 	st.items[it.Key] = it
 	delete(st.invalid, it.Key)
@@ -140,10 +140,10 @@
 
 // addGood takes a newer last good value of an item that is known already.
 func (st *topicState) addGood(old, it wire.Item) bool {
-	if it.Rev != old.Rev || !st.invalid[it.Key] || it.GoodRev <= old.GoodRev {
+	if it.Rev != old.Rev || !st.invalid[it.Key] || it.LastGoodRev <= old.LastGoodRev {
 		return false
 	}
-	old.Good, old.GoodRev = it.Good, it.GoodRev
+	old.LastGood, old.LastGoodRev = it.LastGood, it.LastGoodRev
 	st.items[it.Key] = old
 	return true
 }
@@ -161,7 +161,7 @@
 		return
 	}
 	if it, ok := st.items[key]; ok {
-		it.Good, it.GoodRev = good, goodRev
+		it.LastGood, it.LastGoodRev = good, goodRev
 		st.items[key] = it
 		st.invalid[key] = true
 	}
@@ -201,7 +201,7 @@
 		if it.Rev != rk.rev || rk.rev > st.upto {
 			continue
 		}
-		size := len(it.Key) + len(it.Value) + len(it.Good) + itemOverhead
+		size := len(it.Key) + len(it.Value) + len(it.LastGood) + itemOverhead
 		if used > 0 && used+size > bytes {
 			return items, items[len(items)-1].Rev, used
 		}
@@ -218,7 +218,7 @@
 
 // Ask returns the message that starts an exchange with a random peer.
 func (s *Store) Ask(self string, now clock.Millis) wire.Exchange {
-	return wire.Exchange{From: self, Revs: s.Revs(), Fresh: s.Fresh(now), Goods: s.goods()}
+	return wire.Exchange{From: self, Revs: s.Revs(), PlatformAge: s.Fresh(now), LastGoodRevs: s.goods()}
 }
 
 // goods returns the last good revisions of items whose latest value is not
@@ -230,7 +230,7 @@
 			if len(out) == maxGoods {
 				return out
 			}
-			out[key] = st.items[key].GoodRev
+			out[key] = st.items[key].LastGoodRev
 		}
 	}
 	return out
@@ -239,8 +239,8 @@
 // Answer answers a peer's exchange: with what the peer lacks, in the order of
 // Topics, and with what this process has.
 func (s *Store) Answer(e wire.Exchange, now clock.Millis) wire.Exchanged {
-	s.Heard(e.Fresh, now)
-	out := wire.Exchanged{Revs: s.Revs(), Fresh: s.Fresh(now), Upto: map[wire.Topic]int64{}}
+	s.Heard(e.PlatformAge, now)
+	out := wire.Exchanged{Revs: s.Revs(), PlatformAge: s.Fresh(now), Upto: map[wire.Topic]int64{}}
 	left := s.chunkBytes
 	for _, t := range wire.Topics {
 		st := s.topics[t]
@@ -253,8 +253,8 @@
 		out.Upto[t] = upto
 		left -= used
 	}
-	for key, rev := range e.Goods {
-		if it, ok := s.find(key); ok && it.GoodRev > rev {
+	for key, rev := range e.LastGoodRevs {
+		if it, ok := s.find(key); ok && it.LastGoodRev > rev {
 			out.Items = append(out.Items, it)
 		}
 	}
@@ -273,7 +273,7 @@
 
 // Learn takes the answer to an exchange and returns the items that were news.
 func (s *Store) Learn(e wire.Exchanged, now clock.Millis) []wire.Item {
-	s.Heard(e.Fresh, now)
+	s.Heard(e.PlatformAge, now)
 	news := s.Add(e.Items)
 	for t, rev := range e.Upto {
 		s.Complete(t, rev)
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -49,7 +49,7 @@
 	a.Add([]wire.Item{item("p", 2, 1, "bad")})
 	a.MarkInvalid(wire.TopicCore, "p", "good", 1)
 	news := b.Learn(a.Answer(b.Ask("b", 0), 0), 0)
-	if len(news) != 1 || news[0].Good != "good" || news[0].GoodRev != 1 {
+	if len(news) != 1 || news[0].LastGood != "good" || news[0].LastGoodRev != 1 {
 		t.Errorf("got %+v, want the last good value too", news)
 	}
 	// c started after the bad value and read it from the platform.
@@ -57,7 +57,7 @@
 	c.Add([]wire.Item{item("p", 2, 0, "bad")})
 	c.MarkInvalid(wire.TopicCore, "p", "", 0)
 	c.Complete(wire.TopicCore, 2)
-	if news := c.Learn(a.Answer(c.Ask("c", 0), 0), 0); len(news) != 1 || news[0].GoodRev != 1 {
+	if news := c.Learn(a.Answer(c.Ask("c", 0), 0), 0); len(news) != 1 || news[0].LastGoodRev != 1 {
 		t.Errorf("got %+v, want the newer good value", news)
 	}
 }
--- a/gate/epoch_test.go
+++ b/gate/epoch_test.go
@@ -12,7 +12,7 @@
 )
 
 // age is how old this entry says that its table is.
-func age(g *gate.Gate) clock.Millis { return g.Status(0, 0).TableAge }
+func age(g *gate.Gate) clock.Millis { return g.LocalStatus(0, 0).TableAge }
 
 // What a store says soon after it came back from an older copy proves nothing, nor does
 // word of a peer that speaks of another epoch.
@@ -49,7 +49,7 @@
 				if got := age(g); got != tc.want {
 					t.Errorf("got a table that is %d ms old, want %d", got, tc.want)
 				}
-				if got := g.Status(0, 0).Table; got != 5 {
+				if got := g.LocalStatus(0, 0).Table; got != 5 {
 					t.Errorf("got version %d in force, want 5", got)
 				}
 			})
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -92,8 +92,8 @@
 	g.fleet = f
 }
 
-// Status implements peers.Host.
-func (g *Gate) Status(loads, suspects int) peers.Status {
+// LocalStatus implements peers.Host.
+func (g *Gate) LocalStatus(loads, suspects int) peers.Status {
 	now := g.clk.Now()
 	k := peers.Status{}
 	k.SuspectSum, k.Suspects = g.guard.Summarize(suspects)
@@ -110,7 +110,7 @@
 	k.SuspectsComplete = g.remembers(now)
 	k.ListSum, k.ListAge = g.tellList(now)
 	for _, l := range g.book.Loads(loadFresh, loads, now) {
-		k.Loads = append(k.Loads, peers.Load{Engine: l.Mark(), Requests: l.Requests, Age: l.Age})
+		k.Loads = append(k.Loads, peers.Load{Incarnation: l.Mark(), Requests: l.Requests, Age: l.Age})
 	}
 	return k
 }
@@ -178,7 +178,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range loads {
-		if e := g.book.Marked(l.Engine); e != nil && l.Age >= 0 && l.Requests >= 0 {
+		if e := g.book.Marked(l.Incarnation); e != nil && l.Age >= 0 && l.Requests >= 0 {
 			e.Told(engines.Load{Running: l.Requests}, at-l.Age)
 		}
 	}
--- a/gate/listing_test.go
+++ b/gate/listing_test.go
@@ -170,7 +170,7 @@
 		}
 		// It did.
 		g.HearEngines(9, told.ValidAt)
-		if g.ListDue() || g.Status(0, 0).ListSum != 9 {
+		if g.ListDue() || g.LocalStatus(0, 0).ListSum != 9 {
 			t.Error("got the list of before, want the one that was told")
 		}
 	})
@@ -218,13 +218,13 @@
 func TestAListOfAStoreInDoubtIsNotShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := listGate(false, 7)
-		if !g.ListShared() || g.Status(0, 0).ListSum != 7 {
+		if !g.ListShared() || g.LocalStatus(0, 0).ListSum != 7 {
 			t.Fatalf("got a list that is not shared among many, want it to be")
 		}
 		time.Sleep(time.Second)
 		g.StoreEpoch(2, clk.Now())
 		g.ConfirmEngines(7, clk.Now())
-		if g.ListShared() || g.Status(0, 0).ListSum != 0 {
+		if g.ListShared() || g.LocalStatus(0, 0).ListSum != 0 {
 			t.Errorf("got a list of a store in doubt shared, want not")
 		}
 		time.Sleep(5 * time.Second)
@@ -235,7 +235,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := listGate(false, 7)
 		g.SetFleet(peers.Fleet{Entries: 5})
-		if g.ListShared() || g.Status(0, 0).ListSum != 0 {
+		if g.ListShared() || g.LocalStatus(0, 0).ListSum != 0 {
 			t.Errorf("got a list shared among few, want each to ask")
 		}
 	})
@@ -338,7 +338,7 @@
 	}
 	for _, m := range f.members {
 		for addr := range f.byAddr {
-			m.Learn(peers.Member{Addr: addr}, f.clk.Now())
+			m.Update(peers.Member{Addr: addr}, f.clk.Now())
 		}
 	}
 	for i := range n {
@@ -369,7 +369,7 @@
 			if f.rng.IntN(4) == 0 {
 				f.ask(i)
 			}
-			f.members[i].Sweep(now)
+			f.members[i].Expire(now)
 			f.gates[i].SetFleet(f.members[i].Fleet(now))
 			if f.gates[i].ListDue() {
 				f.read(i)
@@ -383,25 +383,25 @@
 
 func (f *listFleet) ask(i int) {
 	now := f.clk.Now()
-	to, ok := f.byAddr[f.members[i].Next()]
+	to, ok := f.byAddr[f.members[i].NextPeer()]
 	if !ok || to == i {
 		return
 	}
 	if f.dead[to] {
 		for addr, at := range f.byAddr {
 			if at == to {
-				f.members[i].Fail(addr, now)
+				f.members[i].MarkFailed(addr, now)
 			}
 		}
 		return
 	}
 	for _, way := range [][2]int{{i, to}, {to, i}} {
 		for _, o := range f.members[way[0]].Sample(now) {
-			f.members[way[1]].Learn(o, now)
+			f.members[way[1]].Update(o, now)
 		}
 		f.members[way[1]].Unpack(f.members[way[0]].Pack(now), now)
 	}
-	f.gates[i].ReceiveStatus("edge", f.gates[to].Status(0, 0), now)
+	f.gates[i].ReceiveStatus("edge", f.gates[to].LocalStatus(0, 0), now)
 }
 
 // Where many entries know a list that is written again without a change, a few calls a
@@ -506,7 +506,7 @@
 // killFirst ends a gate that takes itself to be the first.
 func (f *listFleet) killFirst() {
 	for i, m := range f.members {
-		if !f.dead[i] && m.First(f.clk.Now()) {
+		if !f.dead[i] && m.RanksFirst(f.clk.Now()) {
 			f.dead[i] = true
 			return
 		}
--- a/link/link.go
+++ b/link/link.go
@@ -63,15 +63,15 @@
 	peerBoot uint64
 }
 
-// PeerBoot returns the random number of the process at the other end of a
+// PeerBootID returns the random number of the process at the other end of a
 // dialed connection; it changes when that process restarts.
-func (c *Conn) PeerBoot() uint64 { return c.peerBoot }
+func (c *Conn) PeerBootID() uint64 { return c.peerBoot }
 
 // boot is the random number of this process.
 var boot = max(1, rand.Uint64())
 
-// Boot returns the random number of this process.
-func Boot() uint64 { return boot }
+// BootID returns the random number of this process.
+func BootID() uint64 { return boot }
 
 // Call sends a request and waits for its answer or for ctx.
 func (c *Conn) Call(ctx context.Context, method string, params, result any) error {
@@ -150,7 +150,7 @@
 func (a *adapter) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	<-a.ready
 	if req.Method == wire.MethodHello && !req.Notif {
-		_ = rpc.Reply(ctx, req.ID, wire.Hello{Boot: boot})
+		_ = rpc.Reply(ctx, req.ID, wire.Hello{BootID: boot})
 		return
 	}
 	var params json.RawMessage
@@ -293,13 +293,13 @@
 		c.Close()
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	c.peerBoot = hello.Boot
+	c.peerBoot = hello.BootID
 	return c, nil
 }
 
-// CloseUnheard closes the connections on which nothing was heard since the
+// CloseSilent closes the connections on which nothing was heard since the
 // given time, and returns how many.
-func (p *Pool) CloseUnheard(since clock.Millis) int {
+func (p *Pool) CloseSilent(since clock.Millis) int {
 	n := 0
 	for _, e := range p.entries() {
 		// A connection that is being dialed is not waited for.
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -106,8 +106,8 @@
 	if second, _ := pool.Get(addr, link.Control); second != first {
 		t.Error("got another connection, want the same")
 	}
-	if first.PeerBoot() != link.Boot() {
-		t.Errorf("got boot %d, want this process's %d", first.PeerBoot(), link.Boot())
+	if first.PeerBootID() != link.BootID() {
+		t.Errorf("got boot %d, want this process's %d", first.PeerBootID(), link.BootID())
 	}
 	first.Close()
 	<-first.Done()
--- a/link/silent_test.go
+++ b/link/silent_test.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := pool.CloseUnheard(at); got != 1 {
+	if got := pool.CloseSilent(at); got != 1 {
 		t.Errorf("got %d connections closed, want 1", got)
 	}
 	<-silent.Done()
--- a/link/wire/wire.go
+++ b/link/wire/wire.go
@@ -53,8 +53,8 @@
 type Once struct {
 	// Key is the hash of workspace and caller's key; never zero.
 	Key uint64 `json:"k"`
-	// Born is the wall time in the key in milliseconds, zero if it has none.
-	Born clock.Millis `json:"b,omitempty"`
+	// CreatedAt is the wall time in the key in milliseconds, zero if it has none.
+	CreatedAt clock.Millis `json:"b,omitempty"`
 	// Window is how long a key is remembered, in milliseconds.
 	Window clock.Millis `json:"w"`
 }
@@ -89,12 +89,12 @@
 
 	// Cost is an estimate in tokens, prompt and answer.
 	Cost int `json:"ct"`
-	// Left is the time to the deadline in milliseconds.
-	Left clock.Millis `json:"l"`
-	Once *Once        `json:"o,omitempty"`
-	// Mean is the sender's estimate of the pool's mean load per slot, below
+	// Remaining is the time to the deadline in milliseconds.
+	Remaining clock.Millis `json:"l"`
+	Once      *Once        `json:"o,omitempty"`
+	// MeanLoad is the sender's estimate of the pool's mean load per slot, below
 	// zero if it knows too little.
-	Mean float64 `json:"mn"`
+	MeanLoad float64 `json:"mn"`
 	// LoadBound and LoadFloor are the pool's settings as the sender has them.
 	LoadBound float64 `json:"lb"`
 	LoadFloor int     `json:"lf"`
@@ -136,9 +136,9 @@
 	identity         = "identity"
 )
 
-// EndUntilClose marks the answer as one that ends with the engine's connection, so that
+// MarkEndsUntilClose marks the answer as one that ends with the engine's connection, so that
 // nobody knows whether it is complete.
-func (h *Head) EndUntilClose() { h.Header[transferEncoding] = identity }
+func (h *Head) MarkEndsUntilClose() { h.Header[transferEncoding] = identity }
 
 // EndsUntilClose reports whether the answer ends with the engine's connection.
 func (h *Head) EndsUntilClose() bool { return h.Header[transferEncoding] == identity }
@@ -158,8 +158,8 @@
 type Resume struct {
 	Attempt uint64 `json:"a"`
 	From    int    `json:"f"`
-	// Boot is the daemon's, as the sender knew it when it sent the attempt.
-	Boot uint64 `json:"b"`
+	// BootID is the daemon's, as the sender knew it when it sent the attempt.
+	BootID uint64 `json:"b"`
 }
 
 // Result ends an attempt. With verdict Ran the answer is whole when all
@@ -179,18 +179,18 @@
 	// in tokens, beside a redirect.
 	Cached int `json:"cd,omitempty"`
 	Frames int `json:"f,omitempty"`
-	// Ended is the mark of the life of the engine if it ended while it ran the
+	// EndedIncarnation is the mark of the life of the engine if it ended while it ran the
 	// request, else zero.
-	Ended uint32 `json:"en,omitempty"`
-	Usage Usage  `json:"us,omitzero"`
-	Loads []Load `json:"ld,omitempty"`
+	EndedIncarnation uint32 `json:"en,omitempty"`
+	Usage            Usage  `json:"us,omitzero"`
+	Loads            []Load `json:"ld,omitempty"`
 }
 
 // Cancel asks that an attempt be given up.
 type Cancel struct {
 	Attempt uint64 `json:"a"`
-	// Boot is the daemon's, as the sender knew it when it sent the attempt.
-	Boot uint64 `json:"b"`
+	// BootID is the daemon's, as the sender knew it when it sent the attempt.
+	BootID uint64 `json:"b"`
 }
 
 // Canceled answers Cancel; only NotRun is a promise.
@@ -210,18 +210,18 @@
 
 // Claim asks a witness to promise that only Attempt runs Key.
 type Claim struct {
-	Key     uint64       `json:"k"`
-	Attempt uint64       `json:"a"`
-	Born    clock.Millis `json:"b,omitempty"`
-	Window  clock.Millis `json:"w"`
+	Key       uint64       `json:"k"`
+	Attempt   uint64       `json:"a"`
+	CreatedAt clock.Millis `json:"b,omitempty"`
+	Window    clock.Millis `json:"w"`
 }
 
 // Grant answers Claim.
 type Grant struct {
 	Granted bool `json:"g"`
-	// Young is true when the witness started too late to know of every
+	// StartedLate is true when the witness started too late to know of every
 	// earlier claim on the key.
-	Young bool `json:"y,omitempty"`
+	StartedLate bool `json:"y,omitempty"`
 	// Holder is the attempt that has the key when it was not granted.
 	Holder uint64 `json:"h,omitempty"`
 }
@@ -263,17 +263,17 @@
 	Value string `json:"v,omitempty"`
 	// Gone is true for a key that was deleted.
 	Gone bool `json:"x,omitempty"`
-	// Good is the last valid value and GoodRev its revision, when Value is
+	// LastGood is the last valid value and GoodRev its revision, when Value is
 	// not valid.
-	Good    string `json:"g,omitempty"`
-	GoodRev int64  `json:"q,omitempty"`
+	LastGood    string `json:"g,omitempty"`
+	LastGoodRev int64  `json:"q,omitempty"`
 }
 
 // Hello answers the first call on a connection.
 type Hello struct {
-	// Boot is random for each start of a process, so that a caller can tell
+	// BootID is random for each start of a process, so that a caller can tell
 	// whether the other side still has its memory.
-	Boot uint64 `json:"b"`
+	BootID uint64 `json:"b"`
 }
 
 // Fetch asks a peer for single items, by key.
@@ -294,24 +294,24 @@
 	From string `json:"f"`
 	// Revs is the revision up to which the sender has each topic it holds.
 	Revs map[Topic]int64 `json:"r"`
-	// Fresh is how long ago, in milliseconds, the platform answered anybody.
-	Fresh clock.Millis `json:"a"`
-	Loads []Load       `json:"l,omitempty"`
+	// PlatformAge is how long ago, in milliseconds, the platform answered anybody.
+	PlatformAge clock.Millis `json:"a"`
+	Loads       []Load       `json:"l,omitempty"`
 	// Leaving names instances known to leave, by their own word.
 	Leaving []string `json:"x,omitempty"`
-	// Goods has the last good revisions of keys whose value is not valid.
-	Goods map[string]int64 `json:"g,omitempty"`
+	// LastGoodRevs has the last good revisions of keys whose value is not valid.
+	LastGoodRevs map[string]int64 `json:"g,omitempty"`
 }
 
 // Exchanged answers Exchange.
 type Exchanged struct {
 	Items []Item `json:"i,omitempty"`
 	// Upto is the revision that the asker has after Items, by topic.
-	Upto    map[Topic]int64 `json:"u,omitempty"`
-	Revs    map[Topic]int64 `json:"r"`
-	Fresh   clock.Millis    `json:"a"`
-	Loads   []Load          `json:"l,omitempty"`
-	Leaving []string        `json:"x,omitempty"`
+	Upto        map[Topic]int64 `json:"u,omitempty"`
+	Revs        map[Topic]int64 `json:"r"`
+	PlatformAge clock.Millis    `json:"a"`
+	Loads       []Load          `json:"l,omitempty"`
+	Leaving     []string        `json:"x,omitempty"`
 }
 
 // Push brings new items to a peer as soon as they are known.
--- a/link/wire/wire_test.go
+++ b/link/wire/wire_test.go
@@ -40,7 +40,7 @@
 // Processes of both kinds stand side by side while a fleet is replaced.
 func TestHowAnAnswerEndsIsReadBesideOlderProcesses(t *testing.T) {
 	head := &wire.Head{Status: 200, Header: map[string]string{"A": "b"}}
-	head.EndUntilClose()
+	head.MarkEndsUntilClose()
 	data := encode(t, wire.Frame{Attempt: 1, Head: head})
 	var old oldFrame
 	if err := msgpack.Unmarshal(data, &old); err != nil {
--- a/peers/changes_test.go
+++ b/peers/changes_test.go
@@ -44,7 +44,7 @@
 // knowingFacts is a process that knows what came since revision 10.
 type knowingFacts struct{ facts }
 
-func (*knowingFacts) Status(int, int) peers.Status { return peers.Status{ListSum: listSum} }
+func (*knowingFacts) LocalStatus(int, int) peers.Status { return peers.Status{ListSum: listSum} }
 
 func (*knowingFacts) ChangesSince(p changes.Position) (changes.Delta, bool) {
 	return changes.Delta{From: p, Sum: listSum, Changes: []changes.Change{{Key: "a", Value: []byte{0, 255}, Revision: 12}}}, p.Revision == 10
--- a/peers/cost_test.go
+++ b/peers/cost_test.go
@@ -36,12 +36,12 @@
 func newBusyFacts() *busyFacts {
 	f := &busyFacts{}
 	for i := range 30 {
-		f.loads = append(f.loads, peers.Load{Engine: uint32(0x6bcf2168 + i*7919), Requests: 10 + i, Age: 100 + clock.Millis(90*i)})
+		f.loads = append(f.loads, peers.Load{Incarnation: uint32(0x6bcf2168 + i*7919), Requests: 10 + i, Age: 100 + clock.Millis(90*i)})
 	}
 	return f
 }
 
-func (f *busyFacts) Status(n, _ int) peers.Status {
+func (f *busyFacts) LocalStatus(n, _ int) peers.Status {
 	return peers.Status{Table: 1234, TableAge: 321, ListSum: 3_912_345_678, ListAge: 1234, Epoch: 2, EpochAge: 345_678, Revision: 12_345_678, SuspectsComplete: true, Loads: f.loads[:n]}
 }
 func (*busyFacts) ReceiveStatus(string, peers.Status, clock.Millis)    {}
--- a/peers/fleet_test.go
+++ b/peers/fleet_test.go
@@ -61,8 +61,8 @@
 
 func (f *simFleet) ask(i int) {
 	m := f.all[i]
-	m.Sweep(f.now)
-	addr := m.Next()
+	m.Expire(f.now)
+	addr := m.NextPeer()
 	if seed := f.rng.IntN(simSeeds); addr == "" || (f.round+i)%simSeedEvery == 0 {
 		addr = f.addrs[seed]
 	}
@@ -71,7 +71,7 @@
 
 // askLost has an entry ask one that it asked in vain.
 func (f *simFleet) askLost(i int) {
-	if addr := f.all[i].Lost(); addr != "" {
+	if addr := f.all[i].RandomFailed(); addr != "" {
 		f.askAt(i, addr)
 	}
 }
@@ -82,7 +82,7 @@
 		return
 	}
 	if f.dead[to] {
-		f.all[i].Fail(addr, f.now)
+		f.all[i].MarkFailed(addr, f.now)
 		return
 	}
 	f.tell(i, to)
@@ -94,7 +94,7 @@
 // tell has one entry hear what another knows.
 func (f *simFleet) tell(from, to int) {
 	for _, o := range f.all[from].Sample(f.now) {
-		f.all[to].Learn(o, f.now)
+		f.all[to].Update(o, f.now)
 	}
 	f.all[to].Unpack(f.all[from].Pack(f.now), f.now)
 }
@@ -127,7 +127,7 @@
 		part := float64(m.Count()) / living
 		v.least, v.most = min(v.least, part), max(v.most, part)
 		v.shares += float64(peers.NewShares(f.addrs[i], m.Others(), 0).Part(whole, "engine")) / whole
-		if m.First(f.now) {
+		if m.RanksFirst(f.now) {
 			v.firsts++
 		}
 	}
@@ -227,13 +227,13 @@
 
 func TestPackedMembersAreNeverTakenToBeFresher(t *testing.T) {
 	m := peers.NewMembers(peers.Member{Addr: "10.0.0.1:80"})
-	m.Learn(peers.Member{Addr: "10.0.0.2:80", Age: 1}, 10_000)
+	m.Update(peers.Member{Addr: "10.0.0.2:80", Age: 1}, 10_000)
 	to := peers.NewMembers(peers.Member{Addr: "10.0.0.3:80"})
 	to.Unpack(m.Pack(10_003), 10_003)
 	if got, want := to.Count(), 2; got != want {
 		t.Fatalf("got %d members, want %d", got, want)
 	}
-	to.Sweep(9999 + 30_001)
+	to.Expire(9999 + 30_001)
 	if got, want := to.Count(), 1; got != want {
 		t.Errorf("got %d members over half a minute after the last sign, want %d", got, want)
 	}
@@ -242,21 +242,21 @@
 // What a peer sends is bounded and need not be what it should be.
 func FuzzUnpack(f *testing.F) {
 	m := peers.NewMembers(peers.Member{Addr: "10.0.0.1:80"})
-	m.Learn(peers.Member{Addr: "10.0.0.2:80"}, 1000)
+	m.Update(peers.Member{Addr: "10.0.0.2:80"}, 1000)
 	for _, s := range []string{"", "A", "AAAAAAAAAAA", "%", m.Pack(1000)} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		m := peers.NewMembers(peers.Member{Addr: "10.0.0.1:80"})
 		m.Unpack(text, 1000)
-		if got := m.Count(); got > 17 || (got > 1 && m.Next() == "") {
+		if got := m.Count(); got > 17 || (got > 1 && m.NextPeer() == "") {
 			t.Errorf("got %d members of %q, want at most 17, and one to ask", got, text)
 		}
 	})
 }
 
 func TestLoadsArriveAsTheyWereTold(t *testing.T) {
-	in := peers.Loads{{Engine: 7, Requests: 12, Age: 130}, {Engine: 1 << 31, Requests: 0, Age: 0}, {Engine: 9, Requests: 70_000, Age: 1}}
+	in := peers.Loads{{Incarnation: 7, Requests: 12, Age: 130}, {Incarnation: 1 << 31, Requests: 0, Age: 0}, {Incarnation: 9, Requests: 70_000, Age: 1}}
 	text, err := json.Marshal(in)
 	if err != nil {
 		t.Fatal(err)
--- a/peers/load.go
+++ b/peers/load.go
@@ -11,9 +11,9 @@
 
 // Load is the load of an engine, as the engine told it.
 type Load struct {
-	// Engine is the mark of a life of an engine.
-	Engine   uint32
-	Requests int
+	// Incarnation is the mark of a life of an engine.
+	Incarnation uint32
+	Requests    int
 	// Age is how old the figure is, in milliseconds.
 	Age clock.Millis
 }
@@ -33,7 +33,7 @@
 		if one.Requests < 0 || one.Requests > math.MaxUint16 || age < 0 || age > math.MaxUint8 {
 			continue
 		}
-		b = binary.BigEndian.AppendUint32(b, one.Engine)
+		b = binary.BigEndian.AppendUint32(b, one.Incarnation)
 		b = binary.BigEndian.AppendUint16(b, uint16(one.Requests))
 		b = append(b, uint8(age))
 	}
@@ -53,7 +53,7 @@
 	}
 	for ; len(b) >= loadSize; b = b[loadSize:] {
 		*l = append(*l, Load{
-			Engine: binary.BigEndian.Uint32(b), Requests: int(binary.BigEndian.Uint16(b[4:])),
+			Incarnation: binary.BigEndian.Uint32(b), Requests: int(binary.BigEndian.Uint16(b[4:])),
 			Age: clock.Millis(b[6]) * packAge,
 		})
 	}
--- a/peers/members.go
+++ b/peers/members.go
@@ -50,9 +50,9 @@
 	Addr string `json:"a"`
 	// Age is how long ago the member gave a sign, in milliseconds.
 	Age clock.Millis `json:"g,omitempty"`
-	// Leaving is for how long it had been stopping when it gave that sign, zero
+	// StoppingFor is for how long it had been stopping when it gave that sign, zero
 	// if it was not.
-	Leaving clock.Millis `json:"l,omitempty"`
+	StoppingFor clock.Millis `json:"l,omitempty"`
 	// EndsIn is how long it then expected to go on, if it was stopping.
 	EndsIn clock.Millis `json:"e,omitempty"`
 }
@@ -129,8 +129,8 @@
 	return max(memberFor, signEvery*clock.Millis(len(m.seen)))
 }
 
-// Learn takes a member from a message that is at least as old as it says.
-func (m *Members) Learn(o Member, now clock.Millis) {
+// Update takes a member from a message that is at least as old as it says.
+func (m *Members) Update(o Member, now clock.Millis) {
 	if o.Addr == "" || o.Addr == m.self.Addr || o.Age < 0 || o.Age > m.keep() {
 		return
 	}
@@ -146,14 +146,14 @@
 		k = known{addr: packable(o.Addr), rank: xxh3.HashString(o.Addr)}
 	}
 	k.at, k.stop = at, Stop{}
-	if o.Leaving > 0 {
-		k.stop = Stop{Since: at - o.Leaving, End: at + o.EndsIn}
+	if o.StoppingFor > 0 {
+		k.stop = Stop{Since: at - o.StoppingFor, End: at + o.EndsIn}
 	}
 	m.seen[o.Addr] = k
 }
 
-// Sweep forgets members that gave no sign for long.
-func (m *Members) Sweep(now clock.Millis) {
+// Expire forgets members that gave no sign for long.
+func (m *Members) Expire(now clock.Millis) {
 	keep := m.keep()
 	for addr, k := range m.seen {
 		if now-k.at > keep {
@@ -165,13 +165,13 @@
 // Count returns the number of entries that are known, this one included.
 func (m *Members) Count() int { return len(m.seen) + 1 }
 
-// Leave records that this process is stopping, or, with a zero stop, that it
+// SetStop records that this process is stopping, or, with a zero stop, that it
 // is not.
-func (m *Members) Leave(s Stop) { m.stop = s }
+func (m *Members) SetStop(s Stop) { m.stop = s }
 
 // Fleet returns what is known of the others.
 func (m *Members) Fleet(now clock.Millis) Fleet {
-	f := Fleet{Entries: m.Count(), First: m.First(now)}
+	f := Fleet{Entries: m.Count(), First: m.RanksFirst(now)}
 	var ends []clock.Millis
 	// heard is how many there are of which it is known whether they serve.
 	heard := 1
@@ -217,7 +217,7 @@
 func (m *Members) Sample(now clock.Millis) []Member {
 	self := m.self
 	if m.stop.begun() {
-		self.Leaving, self.EndsIn = max(1, now-m.stop.Since), max(0, m.stop.End-now)
+		self.StoppingFor, self.EndsIn = max(1, now-m.stop.Since), max(0, m.stop.End-now)
 	}
 	out := []Member{self}
 	for addr, k := range m.seen {
@@ -229,16 +229,16 @@
 		}
 		o := Member{Addr: addr, Age: now - k.at}
 		if k.stop.begun() {
-			o.Leaving, o.EndsIn = k.at-k.stop.Since, max(0, k.stop.End-k.at)
+			o.StoppingFor, o.EndsIn = k.at-k.stop.Since, max(0, k.stop.End-k.at)
 		}
 		out = append(out, o)
 	}
 	return out
 }
 
-// First reports whether this process comes before all others of which a sign came
+// RanksFirst reports whether this process comes before all others of which a sign came
 // lately, in the order that all agree on.
-func (m *Members) First(now clock.Millis) bool {
+func (m *Members) RanksFirst(now clock.Millis) bool {
 	for _, k := range m.seen {
 		if k.rank < m.rank && now-k.at <= firstFor {
 			return false
@@ -247,9 +247,9 @@
 	return true
 }
 
-// Fail records that this process asked a member in vain. Until it gives another sign it is
+// MarkFailed records that this process asked a member in vain. Until it gives another sign it is
 // asked only as one that is lost.
-func (m *Members) Fail(addr string, now clock.Millis) {
+func (m *Members) MarkFailed(addr string, now clock.Millis) {
 	if k, ok := m.seen[addr]; ok {
 		k.failedAt = now
 		m.seen[addr] = k
@@ -258,12 +258,12 @@
 
 func (k known) failed() bool { return k.failedAt > k.at }
 
-// Next returns the address of the member to ask next, or "" if none is known.
+// NextPeer returns the address of the member to ask next, or "" if none is known.
 // A process asks few members, in turn, so that few connections are kept. These
 // come before it in the common order, a fifth of the way, so that what the first of
 // all knows reaches everybody in a few steps. Now and then it asks any, so that no
 // group stays by itself.
-func (m *Members) Next() string {
+func (m *Members) NextPeer() string {
 	m.next++
 	before := m.before()
 	if len(before) == 0 || m.next%strangerEvery == 0 {
@@ -295,8 +295,8 @@
 	return m.draw(true)
 }
 
-// Lost returns a member by chance that was asked in vain, or "".
-func (m *Members) Lost() string { return m.draw(true) }
+// RandomFailed returns a member by chance that was asked in vain, or "".
+func (m *Members) RandomFailed() string { return m.draw(true) }
 
 // draw returns a member by chance of those that were asked in vain, or of the others, "" if
 // there is none.
--- a/peers/members_test.go
+++ b/peers/members_test.go
@@ -15,17 +15,17 @@
 
 func TestMembersAreForgottenWithoutASign(t *testing.T) {
 	m := peers.NewMembers(member(0, 0))
-	m.Learn(member(1, 0), 1000)
-	m.Learn(member(2, 29_000), 30_000)
-	m.Learn(member(3, 31_000), 32_000) // too old to be told
-	m.Learn(member(4, -5), 32_000)     // a lie
-	m.Learn(member(0, 0), 32_000)      // this process itself
-	m.Sweep(30_500)
+	m.Update(member(1, 0), 1000)
+	m.Update(member(2, 29_000), 30_000)
+	m.Update(member(3, 31_000), 32_000) // too old to be told
+	m.Update(member(4, -5), 32_000)     // a lie
+	m.Update(member(0, 0), 32_000)      // this process itself
+	m.Expire(30_500)
 	if got, want := m.Count(), 3; got != want {
 		t.Errorf("got %d entries, want %d", got, want)
 	}
-	m.Learn(member(1, 0), 32_000)
-	m.Sweep(33_000)
+	m.Update(member(1, 0), 32_000)
+	m.Expire(33_000)
 	if got, want := m.Count(), 2; got != want {
 		t.Errorf("got %d entries, want %d: one gave a sign", got, want)
 	}
@@ -35,14 +35,14 @@
 func TestTheCostOfAProcessDoesNotGrowWithTheFleet(t *testing.T) {
 	m := peers.NewMembers(member(0, 0))
 	for i := 1; i <= 3200; i++ {
-		m.Learn(member(i, 0), 1000)
+		m.Update(member(i, 0), 1000)
 	}
 	if got, most := len(m.Sample(1000)), 4; got > most {
 		t.Errorf("got %d members in a message, want at most %d", got, most)
 	}
 	asked := map[string]int{}
 	for range 160 {
-		asked[m.Next()]++
+		asked[m.NextPeer()]++
 	}
 	often := 0
 	for _, n := range asked {
@@ -63,13 +63,13 @@
 		for i := range all {
 			all[i] = peers.NewMembers(member(i, 0))
 			for j := range n {
-				all[i].Learn(member(j, 0), 0)
+				all[i].Update(member(j, 0), 0)
 			}
 		}
 		heard := make([]bool, n)
 		firsts := 0
 		for i, m := range all {
-			if m.First(0) {
+			if m.RanksFirst(0) {
 				heard[i] = true
 				firsts++
 			}
@@ -85,7 +85,7 @@
 		for ; slices.Contains(heard, false) && rounds < 100; rounds++ {
 			before := slices.Clone(heard)
 			for i, m := range all {
-				if from := m.Next(); before[byAddr[from]] {
+				if from := m.NextPeer(); before[byAddr[from]] {
 					heard[i] = true
 				}
 			}
@@ -99,7 +99,7 @@
 func TestEntriesAgreeOnWhoStopsFirst(t *testing.T) {
 	leaving := func(i int, age, since clock.Millis) peers.Member {
 		m := member(i, age)
-		m.Leaving, m.EndsIn = since, 1500
+		m.StoppingFor, m.EndsIn = since, 1500
 		return m
 	}
 	for name, tc := range map[string]struct {
@@ -118,9 +118,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := peers.NewMembers(member(0, 0))
-			m.Leave(peers.Stop{Since: 9000, End: 15_000})
+			m.SetStop(peers.Stop{Since: 9000, End: 15_000})
 			for _, o := range tc.others {
-				m.Learn(o, 10_000)
+				m.Update(o, 10_000)
 			}
 			got := m.Fleet(10_000)
 			got.First = tc.want.First
@@ -135,17 +135,17 @@
 // to be first, and word of one that came back replaces that of its end.
 func TestOfEntriesThatAreStoppedTogetherOneIsFirst(t *testing.T) {
 	a, b := peers.NewMembers(member(0, 0)), peers.NewMembers(member(1, 0))
-	a.Leave(peers.Stop{Since: 1000, End: 7000})
-	b.Leave(peers.Stop{Since: 1100, End: 7000})
-	a.Learn(b.Sample(2000)[0], 2000)
+	a.SetStop(peers.Stop{Since: 1000, End: 7000})
+	b.SetStop(peers.Stop{Since: 1100, End: 7000})
+	a.Update(b.Sample(2000)[0], 2000)
 	if got, want := a.Fleet(2000).HalfEndedAt, clock.Millis(7000); got != want {
 		t.Errorf("got half of them back after %d, want %d", got, want)
 	}
-	b.Learn(a.Sample(2000)[0], 2000)
+	b.Update(a.Sample(2000)[0], 2000)
 	if got := a.Fleet(2000).StoppingBefore + b.Fleet(2000).StoppingBefore; got != 1 {
 		t.Errorf("got %d entries with another before them, want 1", got)
 	}
-	a.Learn(member(1, 0), 3000)
+	a.Update(member(1, 0), 3000)
 	if got := a.Fleet(3000); got.Serving != 1 || got.StoppingBefore+got.StoppingAfter != 0 {
 		t.Errorf("got %+v after the other came back, want one that serves", got)
 	}
--- a/peers/pack.go
+++ b/peers/pack.go
@@ -81,6 +81,6 @@
 	}
 	for ; len(b) >= packSize; b = b[packSize:] {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b)), binary.BigEndian.Uint16(b[4:]))
-		m.Learn(Member{Addr: addr.String(), Age: clock.Millis(binary.BigEndian.Uint16(b[6:])) * packAge}, now)
+		m.Update(Member{Addr: addr.String(), Age: clock.Millis(binary.BigEndian.Uint16(b[6:])) * packAge}, now)
 	}
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -85,8 +85,8 @@
 
 // Host is the process that the peers help.
 type Host interface {
-	// Status returns what the process knows, with at most so many loads and suspects.
-	Status(loads, suspects int) Status
+	// LocalStatus returns what the process knows, with at most so many loads and suspects.
+	LocalStatus(loads, suspects int) Status
 	// ReceiveStatus takes what a peer of that id knew at the given time or later. It may be a
 	// lie; only ages, loads and suspects are in it.
 	ReceiveStatus(from string, k Status, at clock.Millis)
@@ -159,7 +159,7 @@
 	}
 	p.links = link.NewPool(cfg.Clock, p)
 	// Connections may have died while the instance was suspended.
-	cfg.Clock.OnSuspend(func(clock.Millis) { p.links.CloseUnheard(p.clk.Now()) })
+	cfg.Clock.OnSuspend(func(clock.Millis) { p.links.CloseSilent(p.clk.Now()) })
 	p.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: cfg.Host, Links: p.links, RandomPeers: p.some, Log: cfg.Log})
 	return p
 }
@@ -200,7 +200,7 @@
 func (p *Peers) askLost(ctx context.Context) {
 	for clock.Sleep(ctx, roundPause()) {
 		p.mu.Lock()
-		addr := p.members.Lost()
+		addr := p.members.RandomFailed()
 		p.mu.Unlock()
 		if addr != "" {
 			p.askAt(ctx, addr)
@@ -212,8 +212,8 @@
 func (p *Peers) target(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.members.Sweep(p.clk.Now())
-	addr := p.members.Next()
+	p.members.Expire(p.clk.Now())
+	addr := p.members.NextPeer()
 	if (addr == "" || n%max(seedEvery, p.members.Count()) == 0) && len(p.cfg.Seeds) > 0 {
 		if seed := p.cfg.Seeds[rand.IntN(len(p.cfg.Seeds))]; seed != p.cfg.Addr {
 			addr = seed
@@ -228,7 +228,7 @@
 		return
 	}
 	if n%seedEvery == 0 {
-		p.links.CloseUnheard(p.clk.Now() - linkRest)
+		p.links.CloseSilent(p.clk.Now() - linkRest)
 	}
 	p.askAt(ctx, addr)
 	p.tellAlone()
@@ -249,14 +249,14 @@
 		p.failed.Inc()
 		p.log.Debug("ask_failed", "peer", addr, "error", err)
 		p.mu.Lock()
-		p.members.Fail(addr, p.clk.Now())
+		p.members.MarkFailed(addr, p.clk.Now())
 		p.mu.Unlock()
 		return
 	}
 	p.learn(answer, at)
 	p.cfg.Host.ReceiveStatus(answer.sender(), answer.Status, at)
 	if !answer.Status.SuspectsComplete {
-		p.remind(p.cfg.Host.Status(0, 0), answer)
+		p.remind(p.cfg.Host.LocalStatus(0, 0), answer)
 	}
 	p.askChanges(ctx, addr, answer.Status.ListSum)
 }
@@ -312,7 +312,7 @@
 // and each would cost a round to find out.
 func (p *Peers) doubt(addr string, sent clock.Millis) {
 	p.silent.Inc()
-	n := p.links.CloseUnheard(sent)
+	n := p.links.CloseSilent(sent)
 	p.log.Warn("connection_silent", "to", "peer", "addr", addr, "silent_ms", p.clk.Now()-sent, "closed", n)
 }
 
@@ -321,7 +321,7 @@
 	stop := p.cfg.Host.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.members.Leave(stop)
+	p.members.SetStop(stop)
 	now := p.clk.Now()
 	return message{Members: p.members.Sample(now), Packed: p.members.Pack(now), Status: k}
 }
@@ -338,7 +338,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, o := range m.Members {
-		p.members.Learn(o, at)
+		p.members.Update(o, at)
 	}
 	p.members.Unpack(m.Packed, at)
 }
--- a/peers/silent_test.go
+++ b/peers/silent_test.go
@@ -21,7 +21,7 @@
 	heard int
 }
 
-func (f *facts) Status(int, int) peers.Status { return peers.Status{} }
+func (f *facts) LocalStatus(int, int) peers.Status { return peers.Status{} }
 
 func (f *facts) ReceiveStatus(string, peers.Status, clock.Millis) {
 	f.mu.Lock()
--- a/peers/suspects.go
+++ b/peers/suspects.go
@@ -16,7 +16,7 @@
 
 // question is what a peer is asked with.
 func (p *Peers) question() message {
-	k := p.cfg.Host.Status(loadsAsked, gossip.MaxRequestSuspects)
+	k := p.cfg.Host.LocalStatus(loadsAsked, gossip.MaxRequestSuspects)
 	p.mu.Lock()
 	at := p.differedAt
 	p.mu.Unlock()
@@ -29,7 +29,7 @@
 // answer is what a peer is told that asked. Suspects are in it if the peer knows others.
 func (p *Peers) answer(question message) message {
 	p.cfg.Host.ReceiveSuspects(question.sender(), question.Status.Suspects)
-	k := p.cfg.Host.Status(loadsTold, gossip.MaxResponseSuspects)
+	k := p.cfg.Host.LocalStatus(loadsTold, gossip.MaxResponseSuspects)
 	if !p.differ(k, question.Status) {
 		k.Suspects = ""
 	}
--- a/peers/suspects_test.go
+++ b/peers/suspects_test.go
@@ -14,7 +14,7 @@
 	spread atomic.Int64
 }
 
-func (f *suspectFacts) Status(int, int) peers.Status { return f.known }
+func (f *suspectFacts) LocalStatus(int, int) peers.Status { return f.known }
 
 func (f *suspectFacts) BroadcastSuspects() { f.spread.Add(1) }
 
