--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -77,7 +77,7 @@
 		Clock: cfg.Clock, Log: cfg.Log, Pool: d.links, Loads: d.loads,
 	})
 	for _, e := range cfg.Engines {
-		d.engines[e.ID] = newEngine(e.ID, e.Addr, e.Slots, cfg.Clock, d.node.FreshLoads, cfg.Log)
+		d.engines[e.ID] = newEngine(e.ID, e.Addr, e.Slots, cfg.Clock, d.node.FreshestLoads, cfg.Log)
 	}
 	return d
 }
@@ -345,7 +345,7 @@
 
 // claim is a witness's answer. One that may be cut off promises nothing.
 func (d *Daemon) claim(c wire.Claim) wire.Grant {
-	if !d.node.MajoritySeen() || !d.node.Ready() {
+	if !d.node.MajorityReachable() || !d.node.Ready() {
 		return wire.Grant{}
 	}
 	d.mu.Lock()
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -86,7 +86,7 @@
 	e.mu.Lock()
 	tokens := e.book.Cached(chat)
 	e.mu.Unlock()
-	next, at := d.node.Next(d.cfg.Pool, chat, e.id)
+	next, at := d.node.NextEngine(d.cfg.Pool, chat, e.id)
 	if next == "" || tokens == 0 {
 		return false
 	}
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -31,7 +31,7 @@
 	}
 	witnesses, gone, cutOff := e.node.Witnesses(c.once.Key, c.once.Window)
 	if cutOff || len(witnesses) == 0 {
-		return claimError(c, once.Unknown{Need: once.Need(len(witnesses))}).WithRetryAfter(2000)
+		return claimError(c, once.Unknown{Need: once.Quorum(len(witnesses))}).WithRetryAfter(2000)
 	}
 	c.witnesses = witnesses
 	attempt := max(1, rand.Uint64())
@@ -57,7 +57,7 @@
 
 // goneSince leaves out replacements from before a timed key was born.
 func (e *Entry) goneSince(o *wire.Once, gone int) int {
-	age := e.clk.Wall() - o.CreatedAt + once.Skew
+	age := e.clk.Wall() - o.CreatedAt + once.MaxClockSkew
 	_, since, _ := e.node.Witnesses(o.Key, min(o.Window, age))
 	return min(gone, since)
 }
@@ -104,7 +104,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			tally.Add(g)
+			tally.AddGrant(g)
 		})
 	}
 	wg.Wait()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -120,7 +120,7 @@
 	})
 	e.offers = offer.New(e.links, e.node)
 	e.guard = quarantine.NewGuard(cfg.Clock, cfg.Log)
-	e.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: suspects{e.guard}, Links: e.links, RandomPeers: e.node.Entries, Log: cfg.Log})
+	e.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: suspects{e.guard}, Links: e.links, RandomPeers: e.node.RandomEntries, Log: cfg.Log})
 	return e
 }
 
--- a/entry/identify.go
+++ b/entry/identify.go
@@ -94,11 +94,11 @@
 	if key == "" {
 		return nil
 	}
-	c.once.Key, c.once.CreatedAt = once.KeyHash(c.workspacePath(), key), once.Born(key)
+	c.once.Key, c.once.CreatedAt = once.KeyHash(c.workspacePath(), key), once.KeyTime(key)
 	switch {
 	case c.once.CreatedAt == 0 && c.values.Once.TimedKeysOnly:
 		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the settings ask for a UUID of version 7", chats.HeaderKey)
-	case c.once.CreatedAt > e.clk.Wall()+once.Skew:
+	case c.once.CreatedAt > e.clk.Wall()+once.MaxClockSkew:
 		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the time in the key is in the future", chats.HeaderKey)
 	}
 	return nil
--- a/entry/send.go
+++ b/entry/send.go
@@ -49,7 +49,7 @@
 			e.guard.StartTrial(c.suspect(), 0, s.Engine)
 		}
 		o, res := e.offers.Do(ctx, offer.Daemon{ID: to.ID, Addr: to.Addr}, e.runOf(c, s, mean), answer{c, e.clk})
-		e.node.Ended(s.Engine)
+		e.node.RequestEnded(s.Engine)
 		if !res.Refused {
 			e.learnEnd(c, o, res)
 		}
@@ -83,7 +83,7 @@
 	case attempt.Unsent:
 		return verdict.From(o.Err), nil
 	case attempt.Refused:
-		e.node.RefusedLoads(res.Loads)
+		e.node.ObserveRefusal(res.Loads)
 		return verdict.From(o.Err), nil
 	case attempt.Broken:
 		e.node.SampleLoads(res.Loads)
@@ -144,7 +144,7 @@
 		Method: c.r.Method, Path: targetPath(c), Header: targetHeader(c.r), Body: c.body,
 		Stream: c.chat.Stream(), WantUsage: c.chat.WantUsage(),
 		Cost: c.chat.Cost(len(c.body)), Remaining: c.left(e.clk.Now()), Once: c.once,
-		MeanLoad: mean, LoadBound: v.Routing.LoadBound, LoadFloor: v.Routing.LoadFloor, QueueLimit: v.Limits.QueuePerEngine, Loads: e.node.FreshLoads(),
+		MeanLoad: mean, LoadBound: v.Routing.LoadBound, LoadFloor: v.Routing.LoadFloor, QueueLimit: v.Limits.QueuePerEngine, Loads: e.node.FreshestLoads(),
 	}
 }
 
@@ -163,7 +163,7 @@
 	e.mu.Lock()
 	e.hints.Add(c.chatKey, engine)
 	e.mu.Unlock()
-	home, at, ok := e.node.Home(c.pool, c.chatKey)
+	home, at, ok := e.node.HomeEngine(c.pool, c.chatKey)
 	if !ok || home == engine {
 		return
 	}
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -39,7 +39,7 @@
 	if err != nil || !alone {
 		return false, err
 	}
-	if usable, listed := e.node.Pool(c.pool); usable <= 1 && listed > 1 {
+	if usable, listed := e.node.PoolSize(c.pool); usable <= 1 && listed > 1 {
 		e.guard.EndTrial(c.suspect())
 		return false, verdict.New(v, verdict.HeldBack, "engines ended while they ran this request, and none of pool %q can be spared to try it", c.pool).WithRetryAfter(quarantine.TrialRetryAfter)
 	}
@@ -50,9 +50,9 @@
 // contact returns how this entry stands with others.
 func (e *Entry) contact() quarantine.Connectivity {
 	switch {
-	case len(e.node.Entries(1)) == 0:
+	case len(e.node.RandomEntries(1)) == 0:
 		return quarantine.Standalone
-	case !e.node.MajoritySeen():
+	case !e.node.MajorityReachable():
 		return quarantine.Isolated
 	}
 	return quarantine.Connected
--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -23,7 +23,7 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.view.Forget(forgetAfter, now)
+		n.view.Prune(forgetAfter, now)
 	})
 }
 
@@ -36,7 +36,7 @@
 	metrics.GetOrCreateCounter("weldfall_pauses_total").Inc()
 	n.cfg.Log.Warn("pause_noticed", "gap_ms", int64(gap))
 	n.mu.Lock()
-	n.view.Distrust()
+	n.view.ResetExchanges()
 	n.caughtUp, n.readOK, n.renewing = false, false, true
 	clear(n.heardPeers)
 	n.startAt = n.clk.Now()
@@ -91,7 +91,7 @@
 		return
 	}
 	n.mu.Lock()
-	msg := n.store.Ask(n.cfg.ID, n.clk.Now())
+	msg := n.store.NewExchange(n.cfg.ID, n.clk.Now())
 	msg.Loads = n.loadSample()
 	msg.Leaving = n.view.LeavingIDs()
 	n.mu.Unlock()
@@ -100,7 +100,7 @@
 	var res wire.Exchanged
 	err := n.call(ctx, addr, wire.MethodExchange, msg, &res)
 	n.mu.Lock()
-	n.view.Contact(err == nil)
+	n.view.RecordExchange(err == nil)
 	if err != nil {
 		n.mu.Unlock()
 		metrics.GetOrCreateCounter("weldfall_exchange_failed_total").Inc()
@@ -109,7 +109,7 @@
 		return
 	}
 	news := n.learn(res.Items)
-	n.store.Learn(wire.Exchanged{Upto: res.Upto, PlatformAge: res.PlatformAge}, n.clk.Now())
+	n.store.ApplyAnswer(wire.Exchanged{Upto: res.Upto, PlatformAge: res.PlatformAge}, n.clk.Now())
 	leaving := n.learnLeaving(res.Leaving)
 	n.sample(res.Loads)
 	n.heardPeers[id] = true
@@ -165,7 +165,7 @@
 	enoughPeers := n.caughtUp && len(n.heardPeers) >= min(startPeers, max(1, listed))
 	alone := listed == 0 && len(n.cfg.Bootstrap) == 0
 	waited := n.clk.Now()-n.startAt > startPatience
-	fresh := n.store.Fresh(n.clk.Now()) < freshEnough
+	fresh := n.store.PlatformAge(n.clk.Now()) < freshEnough
 	if (n.readOK && (enoughPeers || alone || waited)) || (enoughPeers && (waited || n.renewing || fresh)) {
 		n.ready.Store(true)
 		n.cfg.Log.Info("ready", "from_platform", n.readOK, "peers_heard", len(n.heardPeers))
@@ -262,7 +262,7 @@
 // leaves.
 func (n *Node) AnnounceLeaving() {
 	n.mu.Lock()
-	n.view.SaidLeaving(n.cfg.ID)
+	n.view.MarkLeaving(n.cfg.ID)
 	peers := n.view.Peers()
 	n.viewChanged()
 	n.mu.Unlock()
--- a/fleet/handle.go
+++ b/fleet/handle.go
@@ -65,7 +65,7 @@
 func (n *Node) learnLeaving(ids []string) []string {
 	var news []string
 	for _, id := range ids {
-		if n.view.SaidLeaving(id) {
+		if n.view.MarkLeaving(id) {
 			news = append(news, id)
 		}
 	}
@@ -79,7 +79,7 @@
 	now := n.clk.Now()
 	defer n.viewChanged()
 	if it.Gone {
-		n.view.Dropped(it.Key, now)
+		n.view.SetUnlisted(it.Key, now)
 		n.loads.Forget(n.listedEngines())
 		n.cfg.Log.Info("instance_gone", "instance", it.Key, "revision", it.Rev)
 		return
@@ -89,14 +89,14 @@
 		n.cfg.Log.Warn("instance_invalid", "instance", it.Key, "revision", it.Rev, "error", err)
 		return
 	}
-	n.view.Listed(in, now)
+	n.view.SetListed(in, now)
 	n.cfg.Log.Debug("instance_listed", "instance", in.ID, "state", in.State, "revision", it.Rev)
 }
 
 // listedEngines returns whether an engine is on the list; the caller holds mu.
 func (n *Node) listedEngines() func(string) bool {
 	listed := map[string]bool{}
-	for _, in := range n.view.Listing() {
+	for _, in := range n.view.Instances() {
 		for _, e := range in.Engines {
 			listed[e.ID] = true
 		}
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -111,8 +111,8 @@
 	return k
 }
 
-// Listed takes an instance from the platform's list.
-func (v *View) Listed(in Instance, now clock.Millis) {
+// SetListed takes an instance from the platform's list.
+func (v *View) SetListed(in Instance, now clock.Millis) {
 	k := v.get(in.ID)
 	returned := !k.listed && k.goneAt > 0
 	if returned {
@@ -131,15 +131,15 @@
 	k.in, k.listed = in, true
 }
 
-// Dropped takes the news that the list no longer has an instance.
-func (v *View) Dropped(id string, now clock.Millis) {
+// SetUnlisted takes the news that the list no longer has an instance.
+func (v *View) SetUnlisted(id string, now clock.Millis) {
 	k := v.get(id)
 	k.in.ID = id
 	k.listed, k.goneAt = false, max(1, now)
 }
 
-// SaidLeaving takes an instance's own word that it leaves.
-func (v *View) SaidLeaving(id string) bool {
+// MarkLeaving takes an instance's own word that it leaves.
+func (v *View) MarkLeaving(id string) bool {
 	k, ok := v.byID[id]
 	if !ok || k.selfLeaving || !k.listed {
 		return false
@@ -166,8 +166,8 @@
 	downMax  clock.Millis = 5000
 )
 
-// Unreachable records that this process failed to reach the instance.
-func (v *View) Unreachable(id string, now clock.Millis) {
+// MarkUnreachable records that this process failed to reach the instance.
+func (v *View) MarkUnreachable(id string, now clock.Millis) {
 	k, ok := v.byID[id]
 	if !ok {
 		return
@@ -176,15 +176,15 @@
 	k.failures++
 }
 
-// Reached records that this process heard from the instance.
-func (v *View) Reached(id string) {
+// MarkReached records that this process heard from the instance.
+func (v *View) MarkReached(id string) {
 	if k, ok := v.byID[id]; ok {
 		k.failures, k.downUntil = 0, 0
 	}
 }
 
-// Contact records whether an exchange with a random peer succeeded.
-func (v *View) Contact(ok bool) {
+// RecordExchange records whether an exchange with a random peer succeeded.
+func (v *View) RecordExchange(ok bool) {
 	if len(v.contacts) < contactMemory {
 		v.contacts = append(v.contacts, ok)
 		return
@@ -193,14 +193,14 @@
 	v.next = (v.next + 1) % contactMemory
 }
 
-// Distrust forgets the contacts, after a pause: what this process knew may be
+// ResetExchanges forgets the contacts, after a pause: what this process knew may be
 // out of date.
-func (v *View) Distrust() { v.contacts, v.next = v.contacts[:0], 0 }
+func (v *View) ResetExchanges() { v.contacts, v.next = v.contacts[:0], 0 }
 
-// MajoritySeen reports whether more than half of the latest exchanges with
+// MajorityReachable reports whether more than half of the latest exchanges with
 // random peers succeeded. A process without it may be cut off with the
 // smaller part of the fleet. One that has no peers is never cut off.
-func (v *View) MajoritySeen() bool {
+func (v *View) MajorityReachable() bool {
 	if len(v.Peers()) == 0 {
 		return true
 	}
@@ -235,8 +235,8 @@
 	return k.in, true
 }
 
-// Listing returns the instances on the list, sorted by id.
-func (v *View) Listing() []Instance {
+// Instances returns the instances on the list, sorted by id.
+func (v *View) Instances() []Instance {
 	out := make([]Instance, 0, len(v.byID))
 	for _, k := range v.byID {
 		if k.listed {
@@ -249,7 +249,7 @@
 
 // Peers returns the other instances on the list that do not leave, sorted.
 func (v *View) Peers() []Instance {
-	return slices.DeleteFunc(v.Listing(), func(in Instance) bool {
+	return slices.DeleteFunc(v.Instances(), func(in Instance) bool {
 		return in.ID == v.self || v.State(in.ID) == Leaving
 	})
 }
@@ -261,12 +261,12 @@
 	return ok && v.State(id) == Live && now >= k.heldUntil && now >= k.downUntil
 }
 
-// Members returns the daemons of a pool that new work may go to. When all are
+// Candidates returns the daemons of a pool that new work may go to. When all are
 // held off or unreachable, the live ones are returned, since trying is better
 // than refusing.
-func (v *View) Members(pool string, now clock.Millis) []Instance {
+func (v *View) Candidates(pool string, now clock.Millis) []Instance {
 	var usable, live []Instance
-	for _, in := range v.Listing() {
+	for _, in := range v.Instances() {
 		if in.Role != Daemon || in.Pool != pool || v.State(in.ID) != Live {
 			continue
 		}
@@ -294,8 +294,8 @@
 	return out
 }
 
-// Forget drops instances that have been gone for longer than any window.
-func (v *View) Forget(window, now clock.Millis) {
+// Prune drops instances that have been gone for longer than any window.
+func (v *View) Prune(window, now clock.Millis) {
 	for id, k := range v.byID {
 		if !k.listed && now-k.goneAt > window && now-k.lastFlap > flapMemory {
 			delete(v.byID, id)
--- a/fleet/member/member_test.go
+++ b/fleet/member/member_test.go
@@ -24,37 +24,37 @@
 func TestAnInstanceLeavesByTheListOrItsOwnWord(t *testing.T) {
 	v := member.NewView("me", 0)
 	for _, id := range []string{"a", "b", "c"} {
-		v.Listed(instance(id), 1)
+		v.SetListed(instance(id), 1)
 	}
 	leaving := instance("b")
 	leaving.State = member.Leaving
-	v.Listed(leaving, 2)
-	if !v.SaidLeaving("c") || v.SaidLeaving("c") {
+	v.SetListed(leaving, 2)
+	if !v.MarkLeaving("c") || v.MarkLeaving("c") {
 		t.Error("got wrong news of c leaving, want it once")
 	}
-	if got, want := ids(v.Members("drafting", 3)), "a "; got != want {
+	if got, want := ids(v.Candidates("drafting", 3)), "a "; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	v.Dropped("a", 4)
+	v.SetUnlisted("a", 4)
 	if got := v.State("a"); got != member.Gone {
 		t.Errorf("got %q, want gone", got)
 	}
-	if got := len(v.Members("drafting", 5)); got != 0 {
+	if got := len(v.Candidates("drafting", 5)); got != 0 {
 		t.Errorf("got %d members, want 0", got)
 	}
 }
 
 func TestAFlappingInstanceIsHeldOffLongerEachTime(t *testing.T) {
 	v := member.NewView("me", 0)
-	v.Listed(instance("steady"), 0)
-	v.Listed(instance("flap"), 0)
+	v.SetListed(instance("steady"), 0)
+	v.SetListed(instance("flap"), 0)
 	var held []clock.Millis
 	now := clock.Millis(0)
 	for range 5 {
 		now += 1000
-		v.Dropped("flap", now)
+		v.SetUnlisted("flap", now)
 		now += 1000
-		v.Listed(instance("flap"), now)
+		v.SetListed(instance("flap"), now)
 		wait := clock.Millis(0)
 		for !v.Usable("flap", now+wait) {
 			wait += 500
@@ -68,17 +68,17 @@
 
 func TestUnreachableInstancesAreTriedAgainLaterAndWhenNoneIsLeft(t *testing.T) {
 	v := member.NewView("me", 0)
-	v.Listed(instance("a"), 0)
-	v.Listed(instance("b"), 0)
-	v.Unreachable("a", 100)
-	if got, want := ids(v.Members("drafting", 101)), "b "; got != want {
+	v.SetListed(instance("a"), 0)
+	v.SetListed(instance("b"), 0)
+	v.MarkUnreachable("a", 100)
+	if got, want := ids(v.Candidates("drafting", 101)), "b "; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	v.Unreachable("b", 101)
-	if got, want := ids(v.Members("drafting", 102)), "a b "; got != want {
+	v.MarkUnreachable("b", 101)
+	if got, want := ids(v.Candidates("drafting", 102)), "a b "; got != want {
 		t.Errorf("none reachable: got %q, want all", got)
 	}
-	v.Reached("a")
+	v.MarkReached("a")
 	if !v.Usable("a", 103) {
 		t.Error("got a unusable after it was reached")
 	}
@@ -86,40 +86,40 @@
 
 func TestOnlyAProcessInContactWithMostTrustsItself(t *testing.T) {
 	v := member.NewView("me", 0)
-	if !v.MajoritySeen() {
+	if !v.MajorityReachable() {
 		t.Error("alone: got no majority")
 	}
-	v.Listed(instance("a"), 0)
-	if v.MajoritySeen() {
+	v.SetListed(instance("a"), 0)
+	if v.MajorityReachable() {
 		t.Error("before any contact: got a majority")
 	}
 	for range 16 {
-		v.Contact(true)
+		v.RecordExchange(true)
 	}
 	for i := range 16 {
-		v.Contact(false)
-		if got, want := v.MajoritySeen(), i < 7; got != want {
+		v.RecordExchange(false)
+		if got, want := v.MajorityReachable(), i < 7; got != want {
 			t.Errorf("after %d failures: got %t, want %t", i+1, got, want)
 		}
 	}
-	v.Contact(true)
-	v.Distrust()
-	if v.MajoritySeen() {
+	v.RecordExchange(true)
+	v.ResetExchanges()
+	if v.MajorityReachable() {
 		t.Error("after a pause: got a majority")
 	}
 }
 
 func TestAYoungViewCountsEveryLossAsRecent(t *testing.T) {
 	v := member.NewView("me", 1000)
-	v.Listed(instance("a"), 1000)
-	v.Dropped("a", 1100)
+	v.SetListed(instance("a"), 1000)
+	v.SetUnlisted("a", 1100)
 	if got := v.GoneWithin(60_000, 50_000); len(got) != 1 {
 		t.Errorf("got %v, want a", got)
 	}
 	if got := v.GoneWithin(60_000, 70_000); len(got) != 0 {
 		t.Errorf("after the window: got %v, want none", got)
 	}
-	v.Forget(60_000, 1_000_000)
+	v.Prune(60_000, 1_000_000)
 	if got := v.State("a"); got != member.Gone {
 		t.Errorf("got %q, want gone", got)
 	}
@@ -134,7 +134,7 @@
 			for e := range 3 {
 				in.Engines = append(in.Engines, member.EngineInfo{ID: fmt.Sprint("engine-", 3*i+e), Slots: 64})
 			}
-			v.Listed(in, 1)
+			v.SetListed(in, 1)
 		}
 		return v
 	})
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -180,7 +180,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var daemons []once.Daemon
-	for _, in := range n.view.Listing() {
+	for _, in := range n.view.Instances() {
 		if in.Role == member.Daemon {
 			daemons = append(daemons, once.Daemon{ID: in.ID, Addr: in.Addr})
 		}
@@ -189,22 +189,22 @@
 		daemons = append(daemons, once.Daemon{ID: id, Gone: true})
 	}
 	ws, gone = once.Choose(key, daemons)
-	return ws, gone, !n.view.MajoritySeen()
+	return ws, gone, !n.view.MajorityReachable()
 }
 
-// MajoritySeen reports whether this process is in contact with most of the
+// MajorityReachable reports whether this process is in contact with most of the
 // fleet.
-func (n *Node) MajoritySeen() bool {
+func (n *Node) MajorityReachable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.view.MajoritySeen()
+	return n.view.MajorityReachable()
 }
 
 // Unreachable records that a daemon could not be reached.
 func (n *Node) Unreachable(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.Unreachable(id, n.clk.Now())
+	n.view.MarkUnreachable(id, n.clk.Now())
 	n.viewChanged()
 }
 
@@ -212,7 +212,7 @@
 func (n *Node) Reached(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.Reached(id)
+	n.view.MarkReached(id)
 }
 
 // State returns an instance's state in this view.
@@ -241,7 +241,7 @@
 	defer n.mu.Unlock()
 	now := n.clk.Now()
 	var out []EngineView
-	for _, in := range n.view.Listing() {
+	for _, in := range n.view.Instances() {
 		for _, e := range in.Engines {
 			requests, fresh := n.loads.Get(e.ID, now)
 			out = append(out, EngineView{e.ID, in.ID, in.Hall, in.Pool, n.view.State(in.ID), n.view.Usable(in.ID, now), requests, fresh, e.Slots})
--- a/fleet/once/claim.go
+++ b/fleet/once/claim.go
@@ -14,25 +14,25 @@
 // Witnesses is how many daemons are asked for a promise.
 const Witnesses = 7
 
-// Changes is how many of a key's witnesses may be replaced or restarted
+// MaxChanges is how many of a key's witnesses may be replaced or restarted
 // between two claims without a claim being lost.
-const Changes = 2
+const MaxChanges = 2
 
-// Need returns how many of n witnesses must promise: the least for which two
+// Quorum returns how many of n witnesses must promise: the least for which two
 // sets still share one after Changes changes, 2*need > n + Changes.
-func Need(n int) int { return min(n, (n+Changes)/2+1) }
+func Quorum(n int) int { return min(n, (n+MaxChanges)/2+1) }
 
-// Tolerated returns how many changes two sets of Need(n) survive.
-func Tolerated(n int) int { return min(Changes, max(0, 2*Need(n)-n-1)) }
+// ToleratedChanges returns how many changes two sets of Need(n) survive.
+func ToleratedChanges(n int) int { return min(MaxChanges, max(0, 2*Quorum(n)-n-1)) }
 
 // KeyHash hashes a caller's key within its workspace. It is never zero.
 func KeyHash(workspace, key string) uint64 {
 	return max(1, xxh3.HashString("once\x00"+workspace+"\x00"+key))
 }
 
-// Born returns the wall time in milliseconds that a UUID of version 7 carries
+// KeyTime returns the wall time in milliseconds that a UUID of version 7 carries
 // (RFC 9562), or zero for any other key.
-func Born(key string) clock.Millis {
+func KeyTime(key string) clock.Millis {
 	raw, err := hex.DecodeString(strings.ReplaceAll(key, "-", ""))
 	if err != nil || len(raw) != 16 || raw[6]>>4 != 7 {
 		return 0
@@ -115,8 +115,8 @@
 // have been replaced within the window.
 func NewTally(asked, gone int) *Tally { return &Tally{asked: asked, gone: gone} }
 
-// Add counts the answer of one witness. One that did not answer is not added.
-func (t *Tally) Add(g wire.Grant) {
+// AddGrant counts the answer of one witness. One that did not answer is not added.
+func (t *Tally) AddGrant(g wire.Grant) {
 	switch {
 	case g.Granted:
 		t.granted++
@@ -132,12 +132,12 @@
 
 // Outcome returns what the answers so far prove.
 func (t *Tally) Outcome() Outcome {
-	need := Need(t.asked)
+	need := Quorum(t.asked)
 	changed := t.gone + t.young
 	switch {
 	case t.holder != 0:
 		return Taken{t.holder}
-	case t.asked > 0 && t.granted >= need && changed <= Tolerated(t.asked):
+	case t.asked > 0 && t.granted >= need && changed <= ToleratedChanges(t.asked):
 		return Promised{}
 	default:
 		return Unknown{t.granted, need, changed}
--- a/fleet/once/once_test.go
+++ b/fleet/once/once_test.go
@@ -13,12 +13,12 @@
 
 func TestTwoSetsOfPromisesShareAWitness(t *testing.T) {
 	for n := 1; n <= 12; n++ {
-		need, changes := once.Need(n), once.Tolerated(n)
+		need, changes := once.Quorum(n), once.ToleratedChanges(n)
 		if 2*need <= n+changes {
 			t.Errorf("n %d: got need %d tolerating %d, want sets that meet", n, need, changes)
 		}
 	}
-	if got, want := once.Need(once.Witnesses), 5; got != want {
+	if got, want := once.Quorum(once.Witnesses), 5; got != want {
 		t.Errorf("need: got %d, want %d", got, want)
 	}
 }
@@ -30,7 +30,7 @@
 		"fee-17":                               0,
 		"":                                     0,
 	} {
-		if got := once.Born(key); got != want {
+		if got := once.KeyTime(key); got != want {
 			t.Errorf("%q: got %d, want %d", key, got, want)
 		}
 	}
@@ -182,7 +182,7 @@
 				f.now += rapid.SampledFrom([]clock.Millis{10, 1000, 5000}).Draw(t, "pass")
 			}
 			list := f.list()
-			if old := rapid.IntRange(0, min(once.Changes, len(f.lists)-1)).Draw(t, "stale"); old > 0 {
+			if old := rapid.IntRange(0, min(once.MaxChanges, len(f.lists)-1)).Draw(t, "stale"); old > 0 {
 				list = f.lists[len(f.lists)-1-old]
 			}
 			f.attempt(t, key, attempt, born, list, ran, &late)
@@ -216,7 +216,7 @@
 		}
 		g := witness.Claim(msg, f.now, 1_000_000+f.now)
 		if rapid.IntRange(0, 6).Draw(t, "answer lost") != 0 {
-			tally.Add(g)
+			tally.AddGrant(g)
 		}
 	}
 	if _, ok := tally.Outcome().(once.Promised); !ok {
--- a/fleet/once/witness.go
+++ b/fleet/once/witness.go
@@ -15,8 +15,8 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// Skew is the allowance for the difference of wall clocks, in milliseconds.
-const Skew clock.Millis = 5000
+// MaxClockSkew is the allowance for the difference of wall clocks, in milliseconds.
+const MaxClockSkew clock.Millis = 5000
 
 // MaxKeys bounds the keys that one witness remembers, about 100 bytes each;
 // a witness that is full makes no further promises until keys expire.
@@ -64,7 +64,7 @@
 	if c.Window <= 0 || Expired(c.CreatedAt, c.Window, wall) || len(w.records) >= w.max {
 		return wire.Grant{StartedLate: young}
 	}
-	until := now + c.Window + 2*Skew
+	until := now + c.Window + 2*MaxClockSkew
 	w.records[c.Key] = record{c.Attempt, until}
 	w.expiry[c.Window] = append(w.expiry[c.Window], dated{c.Key, until})
 	return wire.Grant{Granted: true, StartedLate: young}
@@ -74,9 +74,9 @@
 // with an earlier process.
 func (w *Witness) young(c wire.Claim, now clock.Millis) bool {
 	if c.CreatedAt > 0 {
-		return c.CreatedAt < w.startedWall+Skew
+		return c.CreatedAt < w.startedWall+MaxClockSkew
 	}
-	return now-w.started < c.Window+2*Skew
+	return now-w.started < c.Window+2*MaxClockSkew
 }
 
 // Release takes back the promise to an attempt that has not run and will not.
@@ -106,5 +106,5 @@
 // Expired reports whether a key born at the wall time born is too old to be
 // told from one whose promises have expired. Untimed keys (zero) never are.
 func Expired(born, window, wall clock.Millis) bool {
-	return born > 0 && wall > born+window-Skew
+	return born > 0 && wall > born+window-MaxClockSkew
 }
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -29,7 +29,7 @@
 		return pt
 	}
 	pt := &poolTargets{until: now + targetsTTL, meanAt: -meanTTL - 1, daemons: map[string]member.Instance{}}
-	for _, in := range n.view.Members(name, now) {
+	for _, in := range n.view.Candidates(name, now) {
 		for _, e := range in.Engines {
 			pt.list = append(pt.list, route.NewTarget(e.ID, e.Slots))
 			pt.daemons[e.ID] = in
@@ -79,15 +79,15 @@
 	return pt.mean
 }
 
-// Ended takes back the count of a request that was sent to engine.
-func (n *Node) Ended(engine string) {
+// RequestEnded takes back the count of a request that was sent to engine.
+func (n *Node) RequestEnded(engine string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.Ended(engine)
 }
 
-// Home returns the engine ranked first for a chat, and its daemon.
-func (n *Node) Home(pool string, key uint64) (string, member.Instance, bool) {
+// HomeEngine returns the engine ranked first for a chat, and its daemon.
+func (n *Node) HomeEngine(pool string, key uint64) (string, member.Instance, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	pt := n.pool(pool, n.clk.Now())
@@ -99,9 +99,9 @@
 	return id, pt.daemons[id], true
 }
 
-// Next returns the best ranked engine for a chat other than engine, "" if
+// NextEngine returns the best ranked engine for a chat other than engine, "" if
 // there is none, with its daemon.
-func (n *Node) Next(pool string, key uint64, engine string) (next string, at member.Instance) {
+func (n *Node) NextEngine(pool string, key uint64, engine string) (next string, at member.Instance) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	pt := n.pool(pool, n.clk.Now())
@@ -123,11 +123,11 @@
 	return len(pt.list), perSlot(n.mean(pt, now))
 }
 
-// Pool returns how many engines of a pool can be used, and how many are listed.
-func (n *Node) Pool(pool string) (usable, listed int) {
+// PoolSize returns how many engines of a pool can be used, and how many are listed.
+func (n *Node) PoolSize(pool string) (usable, listed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, in := range n.view.Listing() {
+	for _, in := range n.view.Instances() {
 		if in.Pool == pool {
 			listed += len(in.Engines)
 		}
@@ -135,8 +135,8 @@
 	return len(n.pool(pool, n.clk.Now()).list), listed
 }
 
-// Entries returns the addresses of at most n other entries, by chance.
-func (n *Node) Entries(most int) []string {
+// RandomEntries returns the addresses of at most n other entries, by chance.
+func (n *Node) RandomEntries(most int) []string {
 	n.mu.Lock()
 	peers := n.view.Peers()
 	n.mu.Unlock()
@@ -157,9 +157,9 @@
 	n.sample(loads)
 }
 
-// RefusedLoads takes load reports that came with a refusal: the first is that
+// ObserveRefusal takes load reports that came with a refusal: the first is that
 // of the engine that refused.
-func (n *Node) RefusedLoads(loads []wire.Load) {
+func (n *Node) ObserveRefusal(loads []wire.Load) {
 	if len(loads) == 0 {
 		return
 	}
@@ -169,8 +169,8 @@
 	n.sample(loads[1:])
 }
 
-// FreshLoads returns the freshest loads known, to go with a message.
-func (n *Node) FreshLoads() []wire.Load {
+// FreshestLoads returns the freshest loads known, to go with a message.
+func (n *Node) FreshestLoads() []wire.Load {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.loads.Freshest(route.LoadsOnTheWay, n.clk.Now())
--- a/fleet/read.go
+++ b/fleet/read.go
@@ -28,7 +28,7 @@
 	}
 	var ids []route.Target
 	self := false
-	for _, in := range n.view.Listing() {
+	for _, in := range n.view.Instances() {
 		if in.Hall == n.cfg.Hall && n.view.State(in.ID) == member.Live {
 			ids = append(ids, route.NewTarget(in.ID, 1))
 			self = self || in.ID == n.cfg.ID
@@ -89,7 +89,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.store.Fresh(n.clk.Now()) < staleAfter && n.ready.Load() || n.clk.Now()-n.startAt < startPatience {
+	if n.store.PlatformAge(n.clk.Now()) < staleAfter && n.ready.Load() || n.clk.Now()-n.startAt < startPatience {
 		return false
 	}
 	return rand.Float64() < strayReads/float64(len(n.view.Peers())+1)
@@ -109,17 +109,17 @@
 		}
 		return false
 	}
-	if b.Asked > 1 {
-		n.cfg.Log.Warn("platform_silent", "topic", t, "asked", b.Asked)
+	if b.Attempts > 1 {
+		n.cfg.Log.Warn("platform_silent", "topic", t, "asked", b.Attempts)
 	}
 	n.mu.Lock()
 	items := n.toItems(t, b)
 	news := n.learn(items)
 	for _, topic := range topicsOf(t) {
-		n.store.Complete(topic, b.Rev)
+		n.store.MarkComplete(topic, b.Rev)
 	}
 	if b.Rev >= after {
-		n.store.Heard(0, n.clk.Now())
+		n.store.RecordPlatformAnswer(0, n.clk.Now())
 	}
 	n.readOK = true
 	n.mu.Unlock()
--- a/fleet/source/client.go
+++ b/fleet/source/client.go
@@ -44,8 +44,8 @@
 	Rev   int64  `json:"rev"`
 	Items []Item `json:"items"`
 	More  bool   `json:"more"`
-	// Asked is how many calls it took: more than one where a connection gave no sign.
-	Asked int `json:"-"`
+	// Attempts is how many calls it took: more than one where a connection gave no sign.
+	Attempts int `json:"-"`
 }
 
 // maxAnswer bounds an answer in bytes: a batch of values of up to a megabyte,
@@ -120,7 +120,7 @@
 			hedge.Reset(hedgePeriod.Duration())
 		case a := <-answers:
 			if outstanding--; a.err == nil || outstanding == 0 {
-				a.batch.Asked = asked
+				a.batch.Attempts = asked
 				return a.batch, a.err
 			}
 		case <-ctx.Done():
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -167,15 +167,15 @@
 	}
 }
 
-// Complete records that everything up to rev of a topic has been added.
-func (s *Store) Complete(t wire.Topic, rev int64) {
+// MarkComplete records that everything up to rev of a topic has been added.
+func (s *Store) MarkComplete(t wire.Topic, rev int64) {
 	if st := s.topics[t]; st != nil {
 		st.upto = max(st.upto, rev)
 	}
 }
 
-// Heard records that the platform answered somebody age ago.
-func (s *Store) Heard(age, now clock.Millis) {
+// RecordPlatformAnswer records that the platform answered somebody age ago.
+func (s *Store) RecordPlatformAnswer(age, now clock.Millis) {
 	if at := now - age; !s.isHeard || at > s.heard {
 		s.heard, s.isHeard = at, true
 	}
@@ -184,8 +184,8 @@
 // neverHeard stands for a platform that nobody has heard from.
 const neverHeard clock.Millis = 1 << 40
 
-// Fresh returns how long ago the platform last answered anybody.
-func (s *Store) Fresh(now clock.Millis) clock.Millis {
+// PlatformAge returns how long ago the platform last answered anybody.
+func (s *Store) PlatformAge(now clock.Millis) clock.Millis {
 	if !s.isHeard {
 		return neverHeard
 	}
@@ -216,9 +216,9 @@
 // one exchange.
 const maxGoods = 8
 
-// Ask returns the message that starts an exchange with a random peer.
-func (s *Store) Ask(self string, now clock.Millis) wire.Exchange {
-	return wire.Exchange{From: self, Revs: s.Revs(), PlatformAge: s.Fresh(now), LastGoodRevs: s.goods()}
+// NewExchange returns the message that starts an exchange with a random peer.
+func (s *Store) NewExchange(self string, now clock.Millis) wire.Exchange {
+	return wire.Exchange{From: self, Revs: s.Revs(), PlatformAge: s.PlatformAge(now), LastGoodRevs: s.goods()}
 }
 
 // goods returns the last good revisions of items whose latest value is not
@@ -239,8 +239,8 @@
 // Answer answers a peer's exchange: with what the peer lacks, in the order of
 // Topics, and with what this process has.
 func (s *Store) Answer(e wire.Exchange, now clock.Millis) wire.Exchanged {
-	s.Heard(e.PlatformAge, now)
-	out := wire.Exchanged{Revs: s.Revs(), PlatformAge: s.Fresh(now), Upto: map[wire.Topic]int64{}}
+	s.RecordPlatformAnswer(e.PlatformAge, now)
+	out := wire.Exchanged{Revs: s.Revs(), PlatformAge: s.PlatformAge(now), Upto: map[wire.Topic]int64{}}
 	left := s.chunkBytes
 	for _, t := range wire.Topics {
 		st := s.topics[t]
@@ -271,12 +271,12 @@
 	return wire.Item{}, false
 }
 
-// Learn takes the answer to an exchange and returns the items that were news.
-func (s *Store) Learn(e wire.Exchanged, now clock.Millis) []wire.Item {
-	s.Heard(e.PlatformAge, now)
+// ApplyAnswer takes the answer to an exchange and returns the items that were news.
+func (s *Store) ApplyAnswer(e wire.Exchanged, now clock.Millis) []wire.Item {
+	s.RecordPlatformAnswer(e.PlatformAge, now)
 	news := s.Add(e.Items)
 	for t, rev := range e.Upto {
-		s.Complete(t, rev)
+		s.MarkComplete(t, rev)
 	}
 	return news
 }
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -31,13 +31,13 @@
 func TestAMissedItemIsNoticedAndMadeGood(t *testing.T) {
 	reader, late := spread.NewStore(wire.Topics, 1000), spread.NewStore(wire.Topics, 1000)
 	reader.Add([]wire.Item{item("a", 1, 0, "1"), item("b", 2, 1, "2"), item("c", 3, 2, "3")})
-	reader.Complete(wire.TopicCore, 3)
-	late.Complete(wire.TopicCore, 1)
+	reader.MarkComplete(wire.TopicCore, 3)
+	late.MarkComplete(wire.TopicCore, 1)
 	late.Add([]wire.Item{item("c", 3, 2, "3")})
 	if got, want := late.Upto(wire.TopicCore), int64(1); got != want {
 		t.Errorf("with a gap: got complete to %d, want %d", got, want)
 	}
-	news := late.Learn(reader.Answer(late.Ask("late", 0), 0), 0)
+	news := late.ApplyAnswer(reader.Answer(late.NewExchange("late", 0), 0), 0)
 	if len(news) != 1 || news[0].Key != "b" || late.Upto(wire.TopicCore) != 3 {
 		t.Errorf("got %v complete to %d, want b and 3", news, late.Upto(wire.TopicCore))
 	}
@@ -48,7 +48,7 @@
 	a.Add([]wire.Item{item("p", 1, 0, "good")})
 	a.Add([]wire.Item{item("p", 2, 1, "bad")})
 	a.MarkInvalid(wire.TopicCore, "p", "good", 1)
-	news := b.Learn(a.Answer(b.Ask("b", 0), 0), 0)
+	news := b.ApplyAnswer(a.Answer(b.NewExchange("b", 0), 0), 0)
 	if len(news) != 1 || news[0].LastGood != "good" || news[0].LastGoodRev != 1 {
 		t.Errorf("got %+v, want the last good value too", news)
 	}
@@ -56,8 +56,8 @@
 	c := spread.NewStore(wire.Topics, 1000)
 	c.Add([]wire.Item{item("p", 2, 0, "bad")})
 	c.MarkInvalid(wire.TopicCore, "p", "", 0)
-	c.Complete(wire.TopicCore, 2)
-	if news := c.Learn(a.Answer(c.Ask("c", 0), 0), 0); len(news) != 1 || news[0].LastGoodRev != 1 {
+	c.MarkComplete(wire.TopicCore, 2)
+	if news := c.ApplyAnswer(a.Answer(c.NewExchange("c", 0), 0), 0); len(news) != 1 || news[0].LastGoodRev != 1 {
 		t.Errorf("got %+v, want the newer good value", news)
 	}
 }
@@ -93,7 +93,7 @@
 				rev++
 				it := item(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), rev, rev-1, fmt.Sprint(rev))
 				stores[0].Add([]wire.Item{it})
-				stores[0].Complete(wire.TopicCore, rev)
+				stores[0].MarkComplete(wire.TopicCore, rev)
 				for _, s := range stores[1:] {
 					if rapid.Bool().Draw(t, "pushed") {
 						s.Add([]wire.Item{it})
@@ -101,7 +101,7 @@
 				}
 			case 1:
 				i, j := rapid.IntRange(0, n-1).Draw(t, "from"), rapid.IntRange(0, n-1).Draw(t, "to")
-				stores[i].Learn(stores[j].Answer(stores[i].Ask("x", 0), 0), 0)
+				stores[i].ApplyAnswer(stores[j].Answer(stores[i].NewExchange("x", 0), 0), 0)
 			case 2: // a member restarts and has nothing
 				i := rapid.IntRange(1, n-1).Draw(t, "restart")
 				stores[i], seen[i] = spread.NewStore(wire.Topics, 200), nil
@@ -110,7 +110,7 @@
 		}
 		for range 10 * n {
 			for i := range stores {
-				stores[i].Learn(stores[0].Answer(stores[i].Ask("x", 0), 0), 0)
+				stores[i].ApplyAnswer(stores[0].Answer(stores[i].NewExchange("x", 0), 0), 0)
 			}
 		}
 		for i, s := range stores {
@@ -180,11 +180,11 @@
 func (s *swarm) round(now clock.Millis) {
 	for i := range s.stores {
 		j := s.rnd.IntN(len(s.stores))
-		ask := s.stores[i].Ask("instance-0000", now)
+		ask := s.stores[i].NewExchange("instance-0000", now)
 		answer := s.stores[j].Answer(ask, now)
 		s.count(i, j, ask)
 		s.count(i, j, answer)
-		s.stores[i].Learn(answer, now)
+		s.stores[i].ApplyAnswer(answer, now)
 	}
 }
 
@@ -201,7 +201,7 @@
 
 func (s *swarm) read(reader int, it wire.Item) {
 	s.stores[reader].Add([]wire.Item{it})
-	s.stores[reader].Complete(it.Topic, it.Rev)
+	s.stores[reader].MarkComplete(it.Topic, it.Rev)
 }
 
 // TestAChangeIsEverywhereWithinThreeRoundsOf3200 has the bound of 4 s: a
@@ -287,7 +287,7 @@
 	}
 	for _, st := range s.stores {
 		st.Add(items)
-		st.Complete(wire.TopicInstances, int64(engines))
+		st.MarkComplete(wire.TopicInstances, int64(engines))
 	}
 }
 
@@ -299,10 +299,10 @@
 	fresh := spread.NewStore([]wire.Topic{wire.TopicCore, wire.TopicInstances}, spread.DefaultChunkBytes)
 	rounds, worst := 0, 0
 	for fresh.Upto(wire.TopicInstances) < 3200 {
-		answer := s.stores[0].Answer(fresh.Ask("fresh", 0), 0)
+		answer := s.stores[0].Answer(fresh.NewExchange("fresh", 0), 0)
 		data, _ := json.Marshal(answer)
 		worst = max(worst, len(data))
-		fresh.Learn(answer, 0)
+		fresh.ApplyAnswer(answer, 0)
 		rounds++
 	}
 	t.Logf("%d exchanges, at most %d bytes each", rounds, worst)
@@ -318,9 +318,9 @@
 			fill(s, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				ask := s.stores[0].Ask("instance-0000", 0)
+				ask := s.stores[0].NewExchange("instance-0000", 0)
 				answer := s.stores[1].Answer(ask, 0)
-				s.stores[0].Learn(answer, 0)
+				s.stores[0].ApplyAnswer(answer, 0)
 				s.count(0, 1, ask)
 				s.count(0, 1, answer)
 			}
--- a/measure/replay/policy.go
+++ b/measure/replay/policy.go
@@ -68,7 +68,7 @@
 		try := route.Try{Engine: s.Engine, Mode: s.Mode}
 		loads.Sent(e.id)
 		if e.gone {
-			p.views[entry].Unreachable(e.id, p.now)
+			p.views[entry].MarkUnreachable(e.id, p.now)
 			loads.Ended(e.id)
 			tries = append(tries, try)
 			continue
--- a/measure/replay/replay.go
+++ b/measure/replay/replay.go
@@ -223,7 +223,7 @@
 
 func (p *pool) list(entry int, e *eng) {
 	p.seen[entry] = append(p.seen[entry], e)
-	p.views[entry].Listed(member.Instance{
+	p.views[entry].SetListed(member.Instance{
 		ID: e.id, Role: member.Daemon, Pool: poolName, State: member.Live, Engines: []member.EngineInfo{{ID: e.id, Slots: e.slots}},
 	}, p.now)
 }
@@ -232,7 +232,7 @@
 
 func (p *pool) drop(entry int, e *eng) {
 	p.seen[entry] = slices.DeleteFunc(p.seen[entry], func(x *eng) bool { return x == e })
-	p.views[entry].Dropped(e.id, p.now)
+	p.views[entry].SetUnlisted(e.id, p.now)
 }
 
 // poolName is the only pool of a run.
@@ -241,7 +241,7 @@
 // members lists the engines that an entry may send new work to.
 func (p *pool) members(entry int) []*eng {
 	var out []*eng
-	for _, in := range p.views[entry].Members(poolName, p.now) {
+	for _, in := range p.views[entry].Candidates(poolName, p.now) {
 		out = append(out, p.find(in.ID))
 	}
 	return out
