--- a/engines/budget/budget_test.go
+++ b/engines/budget/budget_test.go
@@ -9,15 +9,15 @@
 	"github.com/weldfall/weldfall/engines/budget"
 )
 
-// In every window the repeats stay within the ratio of the requests of that
-// window or the one before, and the extra.
-func TestRepeatsStayWithinEveryWindow(t *testing.T) {
+// Checks that the retries of every window stay within the ratio of the requests of
+// that window and the one before, plus the extra retries.
+func TestRetriesStayWithinEveryWindow(t *testing.T) {
 	const window = 10_000
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
 		extra := rapid.Float64Range(0, 5).Draw(t, "extra")
 		b := budget.New(budget.Config{Ratio: ratio, Extra: extra, Window: window})
-		var requests, repeats []clock.Millis
+		var requests, retries []clock.Millis
 		now := clock.Millis(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 1500).Draw(t, "pass"))
@@ -25,20 +25,20 @@
 				b.RecordRequest(now)
 				requests = append(requests, now)
 			} else if b.Spend(now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, start := range append(requests, repeats...) {
-			got := count(repeats, start, start+window)
-			want := ratio*float64(count(requests, start-window, start+window)) + extra
+		for _, start := range append(requests, retries...) {
+			got := countBetween(retries, start, start+window)
+			want := ratio*float64(countBetween(requests, start-window, start+window)) + extra
 			if float64(got) > want {
-				t.Fatalf("got %d repeats from %d on, want at most %.1f", got, start, want)
+				t.Fatalf("got %d retries from %d on, want at most %.1f", got, start, want)
 			}
 		}
 	})
 }
 
-func count(times []clock.Millis, from, to clock.Millis) int {
+func countBetween(times []clock.Millis, from, to clock.Millis) int {
 	n := 0
 	for _, at := range times {
 		if at >= from && at < to {
@@ -48,28 +48,28 @@
 	return n
 }
 
-// Changed bounds grant what they add to a window, and that no sooner than others are earned.
-func TestChangedBoundsGrantNothingAnew(t *testing.T) {
+// Checks that a new configuration adds only the difference to a window, and only as fast as
+// retries are earned.
+func TestConfigureDoesNotRestoreSpentRetries(t *testing.T) {
 	b := budget.New(budget.Config{Window: 1000, Extra: 4})
 	for n := range 4 {
 		if !b.Spend(10_000) {
-			t.Fatalf("got none left after %d", n)
+			t.Fatalf("got no retry after %d, want one", n)
 		}
 	}
 	b.Configure(budget.Config{Window: 1000, Extra: 5})
-	if got, most := b.Remaining(10_001), 1.0; got > most {
-		t.Errorf("got %v left after a change, want at most %v", got, most)
+	if got, limit := b.Remaining(10_001), 1.0; got > limit {
+		t.Errorf("got %v remaining after Configure, want at most %v", got, limit)
 	}
 	if got, want := b.Remaining(10_900), 1.0; got != want {
-		t.Errorf("got %v left when the extra is earned, want the %v that the change added to the window", got, want)
+		t.Errorf("got %v remaining when the extra retries are earned, want the %v added by Configure", got, want)
 	}
 	if got, want := b.Remaining(12_000), 5.0; got != want {
-		t.Errorf("got %v left in the next window, want %v", got, want)
+		t.Errorf("got %v remaining in the next window, want %v", got, want)
 	}
 }
 
-// What a budget counted is told, and the least that was left since it was told before.
-func TestABudgetTellsWhatItCounted(t *testing.T) {
+func TestUsage(t *testing.T) {
 	b := budget.New(budget.Config{Window: 1000, Extra: 2})
 	b.RecordRequest(10)
 	b.RecordRequest(20)
--- a/engines/budget/fleet_test.go
+++ b/engines/budget/fleet_test.go
@@ -11,76 +11,77 @@
 	"github.com/weldfall/weldfall/engines/budget"
 )
 
-// What operators allow all entries together, and what an entry takes of it.
+// Limits of the fleet and of each entry.
 const (
 	ratio  = 0.2
 	extra  = 54.0
 	window = clock.Millis(10_000)
-	// parts is the least number of parts of the extra, lives how many each entry has.
-	parts = 32
-	lives = 4
-	// aim is the part of what operators allow that repeats may come to in the worst window.
-	aim = 0.8
+	// The extra retries are divided into minExtraShares shares at least, sharesPerEntry for
+	// each entry.
+	minExtraShares = 32
+	sharesPerEntry = 4
+	// maxUse is the share of the allowed retries that the worst window may reach.
+	maxUse = 0.8
 )
 
 const (
-	// heldMost is how long a connection keeps what nobody acknowledges.
-	heldMost clock.Millis = 1500
-	// failsAfter is how long an engine takes at most to fail.
-	failsAfter = 300
+	// maxHold is how long a connection retains unacknowledged data.
+	maxHold clock.Millis = 1500
+	// maxFailureTime is the longest time until an engine reports a failure.
+	maxFailureTime = 300
 )
 
-// fleet is a fleet of entries in simulated time. Callers send requests to entries, which
-// send them to engines and repeat what failed as often as their budgets let them.
+// fleet simulates a fleet of entries. Clients send requests to entries, which send them to
+// engines and retry failed attempts as long as their budgets allow it.
 type fleet struct {
 	rng     *rand.Rand
 	now     clock.Millis
 	events  events
 	entries []*entry
-	// failing is the part of the attempts that fail.
-	failing float64
-	// mostRepeats is how often a request may be repeated.
-	mostRepeats int
-	// extra is what operators allow beyond the ratio.
+	// failureRate is the share of attempts that fail.
+	failureRate float64
+	// maxRetries is the maximum number of retries of a request.
+	maxRetries int
+	// extra is the number of retries that the fleet may add to the ratio.
 	extra float64
-	// held are spans in which nothing arrives at engines until their ends.
-	held []span
-	// sent has when callers sent requests, arrived when attempts arrived at engines, by
-	// request.
+	// holds are times during which attempts are held in the network.
+	holds []span
+	// sent holds the times at which clients sent requests, arrived those at which the attempts
+	// of each request arrived at engines.
 	sent    []clock.Millis
 	arrived [][]clock.Millis
 }
 
 type span struct{ from, to clock.Millis }
 
-func (s span) has(t clock.Millis) bool { return t >= s.from && t < s.to }
+func (s span) contains(t clock.Millis) bool { return t >= s.from && t < s.to }
 
-// entry is a process and the one that is started in its place.
+// entry is a process that may be restarted.
 type entry struct {
 	budget *budget.Budget
-	// life counts the starts; down is true while there is no process.
-	life int
-	down bool
-	// still is until when the process stands still, waiting what it finds then.
-	still   clock.Millis
-	waiting []func()
-	// slow is a span in which the process reads at a part of the pace at which callers
-	// send, and after which it catches up.
-	slow     span
+	// starts counts the restarts; down is true while no process is running.
+	starts int
+	down   bool
+	// pausedUntil is when a paused process resumes and runs the queued functions.
+	pausedUntil clock.Millis
+	queued      []func()
+	// slowSpan is a time during which the process reads more slowly than clients send, at the
+	// share slowPace of their rate. It catches up afterwards.
+	slowSpan span
 	slowPace float64
 }
 
 // newFleet returns a fleet of n entries.
 func newFleet(seed uint64, n int) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 0)), failing: 0.6, mostRepeats: 1, extra: extra}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 0)), failureRate: 0.6, maxRetries: 1, extra: extra}
 	for range n {
-		f.add()
+		f.addEntry()
 	}
 	return f
 }
 
-// add starts another entry.
-func (f *fleet) add() *entry {
+// addEntry starts another entry.
+func (f *fleet) addEntry() *entry {
 	e := &entry{}
 	f.start(e)
 	f.entries = append(f.entries, e)
@@ -88,14 +89,14 @@
 }
 
 func (f *fleet) start(e *entry) {
-	e.budget = budget.New(budget.Config{Ratio: ratio, Extra: f.extra / float64(max(parts, lives*len(f.entries))), Window: window, Lag: heldMost, StartedAt: f.now})
+	e.budget = budget.New(budget.Config{Ratio: ratio, Extra: f.extra / float64(max(minExtraShares, sharesPerEntry*len(f.entries))), Window: window, Lag: maxHold, StartedAt: f.now})
 	e.down = false
 }
 
-// at has do called at a time.
+// at schedules do at a time.
 func (f *fleet) at(t clock.Millis, do func()) { heap.Push(&f.events, event{at: t, do: do}) }
 
-// run plays all events up to a time.
+// run processes all events up to a time.
 func (f *fleet) run(until clock.Millis) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(event)
@@ -104,8 +105,8 @@
 	}
 }
 
-// callers send at a rate in requests a second, each to an entry by chance.
-func (f *fleet) callers(s span, perSecond float64) {
+// addClients adds clients that send requests to random entries during s.
+func (f *fleet) addClients(s span, perSecond float64) {
 	for t := float64(s.from); ; {
 		t += f.rng.ExpFloat64() * 1000 / perSecond
 		if t >= float64(s.to) {
@@ -115,177 +116,176 @@
 	}
 }
 
-// send has a caller send a request.
+// send sends a request from a client to an entry.
 func (f *fleet) send(e *entry) {
 	id := len(f.sent)
 	f.sent = append(f.sent, f.now)
 	f.arrived = append(f.arrived, nil)
-	f.atEntry(e, 1+e.lag(f.now), func() {
+	f.after(e, 1+e.readDelay(f.now), func() {
 		e.budget.RecordRequest(f.now)
 		f.attempt(e, id, 0)
 	})
 }
 
-// lag is how much later than usual a slow process reads what is sent now.
-func (e *entry) lag(now clock.Millis) clock.Millis {
-	behind := func(t clock.Millis) float64 { return float64(t-e.slow.from) * (1/e.slowPace - 1) }
+// readDelay returns how much later than usual a slow process reads a request sent now.
+func (e *entry) readDelay(now clock.Millis) clock.Millis {
+	behind := func(t clock.Millis) float64 { return float64(t-e.slowSpan.from) * (1/e.slowPace - 1) }
 	switch {
-	case e.slowPace == 0 || now < e.slow.from:
+	case e.slowPace == 0 || now < e.slowSpan.from:
 		return 0
-	case now < e.slow.to:
+	case now < e.slowSpan.to:
 		return clock.Millis(behind(now))
 	}
-	// It catches up at twice the pace of callers.
-	return max(0, clock.Millis(behind(e.slow.to)-float64(now-e.slow.to)/2))
+	// The process catches up at twice the rate at which clients send.
+	return max(0, clock.Millis(behind(e.slowSpan.to)-float64(now-e.slowSpan.to)/2))
 }
 
-// atEntry has a process do something after a time, or when it no longer stands still. It
-// takes a millisecond for each of what it finds then. What it would do later is lost with
-// it.
-func (f *fleet) atEntry(e *entry, after clock.Millis, do func()) {
+// after schedules do at a process after a delay, or when it resumes. A resumed process takes
+// a millisecond for each queued function. Scheduled functions are lost with the process.
+func (f *fleet) after(e *entry, delay clock.Millis, do func()) {
 	if e.down {
 		return
 	}
-	life := e.life
-	f.at(f.now+after, func() {
+	starts := e.starts
+	f.at(f.now+delay, func() {
 		switch {
-		case e.life != life:
-		case f.now < e.still:
-			e.waiting = append(e.waiting, do)
+		case e.starts != starts:
+		case f.now < e.pausedUntil:
+			e.queued = append(e.queued, do)
 		default:
 			do()
 		}
 	})
 }
 
-// standStill has a process stand still.
-func (f *fleet) standStill(e *entry, s span) {
-	f.at(s.from, func() { e.still = max(e.still, s.to) })
+// pause suspends a process during s.
+func (f *fleet) pause(e *entry, s span) {
+	f.at(s.from, func() { e.pausedUntil = max(e.pausedUntil, s.to) })
 	f.at(s.to, func() {
-		if f.now < e.still {
+		if f.now < e.pausedUntil {
 			return
 		}
-		waiting := e.waiting
-		e.waiting = nil
-		for i, do := range waiting {
-			f.atEntry(e, clock.Millis(i), do)
+		queued := e.queued
+		e.queued = nil
+		for i, do := range queued {
+			f.after(e, clock.Millis(i), do)
 		}
 	})
 }
 
-// kill ends a process, and starts another in its place at the end of the span.
-func (f *fleet) kill(e *entry, s span) {
+// restart kills a process at the start of s and replaces it at the end of s.
+func (f *fleet) restart(e *entry, s span) {
 	f.at(s.from, func() {
-		e.life++
-		e.down, e.still, e.waiting = true, 0, nil
+		e.starts++
+		e.down, e.pausedUntil, e.queued = true, 0, nil
 	})
 	f.at(s.to, func() { f.start(e) })
 }
 
-// attempt sends a request to an engine, and again if it fails.
-func (f *fleet) attempt(e *entry, id, repeats int) {
-	if at, ok := f.arrives(f.now + 1); ok {
+// attempt sends a request to an engine, and retries it if it fails.
+func (f *fleet) attempt(e *entry, id, retries int) {
+	if at, ok := f.arrivalTime(f.now + 1); ok {
 		f.at(at, func() { f.arrived[id] = append(f.arrived[id], f.now) })
 	}
-	if f.rng.Float64() >= f.failing {
+	if f.rng.Float64() >= f.failureRate {
 		return
 	}
-	f.atEntry(e, 2+clock.Millis(f.rng.IntN(failsAfter)), func() {
-		if repeats < f.mostRepeats && e.budget.Spend(f.now) {
-			f.attempt(e, id, repeats+1)
+	f.after(e, 2+clock.Millis(f.rng.IntN(maxFailureTime)), func() {
+		if retries < f.maxRetries && e.budget.Spend(f.now) {
+			f.attempt(e, id, retries+1)
 		}
 	})
 }
 
-// arrives returns when an attempt arrives that is sent now, if it does.
-func (f *fleet) arrives(now clock.Millis) (clock.Millis, bool) {
+// arrivalTime returns when an attempt sent now arrives, and false if it is lost.
+func (f *fleet) arrivalTime(now clock.Millis) (clock.Millis, bool) {
 	at := now
-	for _, s := range f.held {
-		if s.has(at) {
+	for _, s := range f.holds {
+		if s.contains(at) {
 			at = s.to
 		}
 	}
-	return at, at-now <= heldMost
+	return at, at-now <= maxHold
 }
 
-// worst returns the repeats of the window in which they came nearest to what operators
-// allow, that, and when the window begins.
-func (f *fleet) worst() (repeats int, allowed float64, from clock.Millis) {
-	var again []clock.Millis
-	for _, times := range f.arrived {
-		if len(times) > 1 {
-			again = append(again, times[1:]...)
+// worstWindow returns the retries, the allowed retries and the start of the window with the
+// highest ratio of the two.
+func (f *fleet) worstWindow() (retries int, allowed float64, from clock.Millis) {
+	var times []clock.Millis
+	for _, arrived := range f.arrived {
+		if len(arrived) > 1 {
+			times = append(times, arrived[1:]...)
 		}
 	}
-	slices.Sort(again)
-	part := 0.0
+	slices.Sort(times)
+	worst := 0.0
 	allowed = f.extra
-	for _, start := range again {
-		got := within(again, start)
-		requests := max(within(f.sent, start), within(f.sent, start-window/2), within(f.sent, start-window))
-		if most := ratio*float64(requests) + f.extra; float64(got)/most > part {
-			part, repeats, allowed, from = float64(got)/most, got, most, start
+	for _, start := range times {
+		got := countInWindow(times, start)
+		requests := max(countInWindow(f.sent, start), countInWindow(f.sent, start-window/2), countInWindow(f.sent, start-window))
+		if limit := ratio*float64(requests) + f.extra; float64(got)/limit > worst {
+			worst, retries, allowed, from = float64(got)/limit, got, limit, start
 		}
 	}
-	return repeats, allowed, from
+	return retries, allowed, from
 }
 
-// within counts the sorted times of the window that begins at from.
-func within(times []clock.Millis, from clock.Millis) int {
+// countInWindow counts the times, which are sorted, in the window that begins at from.
+func countInWindow(times []clock.Millis, from clock.Millis) int {
 	first, _ := slices.BinarySearch(times, from)
 	end, _ := slices.BinarySearch(times, from+window)
 	return end - first
 }
 
-// check holds the repeats of each window against the aim.
+// check fails the test if the retries of any window exceed maxUse.
 func (f *fleet) check(t *testing.T) {
 	t.Helper()
-	got, most, from := f.worst()
-	if float64(got) > aim*most {
-		t.Errorf("got %d repeats in the window from %d ms on, want at most %.0f of the %.0f allowed", got, from, aim*most, most)
+	got, allowed, from := f.worstWindow()
+	if float64(got) > maxUse*allowed {
+		t.Errorf("got %d retries in the window from %d ms on, want at most %.0f of the %.0f allowed", got, from, maxUse*allowed, allowed)
 	}
-	t.Logf("worst window: %d repeats, %.0f allowed (%.2f), from %d ms on", got, most, float64(got)/most, from)
+	t.Logf("worst window: %d retries, %.0f allowed (%.2f), from %d ms on", got, allowed, float64(got)/allowed, from)
 }
 
-// day is how long traffic lasts.
-const day = clock.Millis(34_000)
+// trafficTime is how long clients send requests.
+const trafficTime = clock.Millis(34_000)
 
-// Guards against more repeats than a window's callers allow, after entries stood still: what
-// callers sent meanwhile is read at once.
-func TestRequestsThatAreReadLateAllowNoMoreRepeats(t *testing.T) {
+// Guards against too many retries in a window after entries were suspended: they then read
+// at once all requests that clients sent in the meantime.
+func TestLateReadRequestsAllowNoMoreRetries(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		entries int
-		stills  []span
-		// all is true if all entries stand still at once.
+		pauses  []span
+		// all is true if all entries are paused at once.
 		all bool
 	}{
-		{name: "in the first second", entries: 4, stills: []span{{630, 4630}}, all: true},
-		{name: "later", entries: 4, stills: []span{{15_000, 19_000}}, all: true},
-		{name: "twice", entries: 4, stills: []span{{3000, 7000}, {17_000, 21_000}}, all: true},
-		{name: "again and again", entries: 30, stills: []span{{2000, 4000}, {6000, 8000}, {10_000, 12_000}, {14_000, 16_000}, {18_000, 20_000}}, all: true},
-		{name: "half of them", entries: 4, stills: []span{{3000, 7000}}},
+		{name: "in the first second", entries: 4, pauses: []span{{630, 4630}}, all: true},
+		{name: "later", entries: 4, pauses: []span{{15_000, 19_000}}, all: true},
+		{name: "twice", entries: 4, pauses: []span{{3000, 7000}, {17_000, 21_000}}, all: true},
+		{name: "repeatedly", entries: 30, pauses: []span{{2000, 4000}, {6000, 8000}, {10_000, 12_000}, {14_000, 16_000}, {18_000, 20_000}}, all: true},
+		{name: "half of them", entries: 4, pauses: []span{{3000, 7000}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFleet(1, tc.entries)
-			f.callers(span{0, day}, 400)
+			f.addClients(span{0, trafficTime}, 400)
 			for i, e := range f.entries {
-				for _, s := range tc.stills {
+				for _, s := range tc.pauses {
 					if tc.all || i%2 == 0 {
-						f.standStill(e, s)
+						f.pause(e, s)
 					}
 				}
 			}
-			f.run(day)
+			f.run(trafficTime)
 			f.check(t)
 		})
 	}
 }
 
-// The repeats of all entries stay within their bound whatever happens to entries, to what
-// they sent, and to traffic.
-func TestTheRepeatsOfAFleetStayWithinTheirBound(t *testing.T) {
-	everyone := func(f *fleet, do func(i int, e *entry)) {
+// Checks that the retries of all entries stay within the budget under faults of entries,
+// network and engines, and under changes of traffic.
+func TestFleetRetriesStayWithinBudget(t *testing.T) {
+	each := func(f *fleet, do func(i int, e *entry)) {
 		for i, e := range f.entries {
 			do(i, e)
 		}
@@ -294,74 +294,74 @@
 		name    string
 		entries int
 		rate    float64
-		// extra is another than that of other fleets.
-		extra   float64
-		trouble func(f *fleet)
+		// extra replaces the default if it is not zero.
+		extra float64
+		fault func(f *fleet)
 	}{
-		{name: "none", entries: 4, rate: 400, trouble: func(*fleet) {}},
-		{name: "requests that may be repeated twice", entries: 4, rate: 400, trouble: func(f *fleet) { f.mostRepeats = 2 }},
-		{name: "what is sent is held up", entries: 4, rate: 400, trouble: func(f *fleet) {
-			for t := clock.Millis(2000); t < day; t += 3000 {
-				f.held = append(f.held, span{t, t + heldMost})
+		{name: "none", entries: 4, rate: 400, fault: func(*fleet) {}},
+		{name: "two retries per request", entries: 4, rate: 400, fault: func(f *fleet) { f.maxRetries = 2 }},
+		{name: "network holds attempts", entries: 4, rate: 400, fault: func(f *fleet) {
+			for t := clock.Millis(2000); t < trafficTime; t += 3000 {
+				f.holds = append(f.holds, span{t, t + maxHold})
 			}
 		}},
-		{name: "what is sent is held up once in a window", entries: 4, rate: 6000, trouble: func(f *fleet) {
-			f.held = []span{{3000, 3000 + heldMost}, {13_500, 13_500 + heldMost}}
+		{name: "network holds attempts once per window", entries: 4, rate: 6000, fault: func(f *fleet) {
+			f.holds = []span{{3000, 3000 + maxHold}, {13_500, 13_500 + maxHold}}
 		}},
-		{name: "entries that are killed in turn", entries: 4, rate: 400, trouble: func(f *fleet) {
-			everyone(f, func(i int, e *entry) {
-				for t := clock.Millis(1000 + 500*i); t < day; t += 2000 {
-					f.kill(e, span{t, t + 700})
+		{name: "entries killed in turn", entries: 4, rate: 400, fault: func(f *fleet) {
+			each(f, func(i int, e *entry) {
+				for t := clock.Millis(1000 + 500*i); t < trafficTime; t += 2000 {
+					f.restart(e, span{t, t + 700})
 				}
 			})
 		}},
-		{name: "all are killed soon after engines begin to fail", entries: 4, rate: 400, trouble: func(f *fleet) {
-			f.failing = 0
-			f.at(12_000, func() { f.failing = 0.7 })
-			everyone(f, func(_ int, e *entry) { f.kill(e, span{14_500, 15_500}) })
+		{name: "all killed soon after engines begin to fail", entries: 4, rate: 400, fault: func(f *fleet) {
+			f.failureRate = 0
+			f.at(12_000, func() { f.failureRate = 0.7 })
+			each(f, func(_ int, e *entry) { f.restart(e, span{14_500, 15_500}) })
 		}},
-		{name: "thirty entries that are killed again and again", entries: 30, rate: 400, trouble: func(f *fleet) {
-			everyone(f, func(_ int, e *entry) {
-				for t := clock.Millis(1000); t < day; t += 1500 {
-					f.kill(e, span{t, t + 700})
+		{name: "30 entries killed repeatedly", entries: 30, rate: 400, fault: func(f *fleet) {
+			each(f, func(_ int, e *entry) {
+				for t := clock.Millis(1000); t < trafficTime; t += 1500 {
+					f.restart(e, span{t, t + 700})
 				}
 			})
 		}},
-		{name: "a fleet that grows tenfold", entries: 4, rate: 400, trouble: func(f *fleet) {
+		{name: "fleet grows tenfold", entries: 4, rate: 400, fault: func(f *fleet) {
 			for i := range clock.Millis(36) {
-				f.at(5000+i*100, func() { f.add() })
+				f.at(5000+i*100, func() { f.addEntry() })
 			}
 		}},
-		{name: "a burst", entries: 4, rate: 200, trouble: func(f *fleet) { f.callers(span{12_000, 15_000}, 1500) }},
-		{name: "traffic that ends", entries: 4, rate: 50, trouble: func(f *fleet) {
-			f.callers(span{0, 12_000}, 1500)
-			f.failing = 0
-			f.at(12_200, func() { f.failing = 1 })
+		{name: "burst", entries: 4, rate: 200, fault: func(f *fleet) { f.addClients(span{12_000, 15_000}, 1500) }},
+		{name: "traffic ends", entries: 4, rate: 50, fault: func(f *fleet) {
+			f.addClients(span{0, 12_000}, 1500)
+			f.failureRate = 0
+			f.at(12_200, func() { f.failureRate = 1 })
 		}},
-		{name: "a process that falls behind and catches up", entries: 4, rate: 400, trouble: func(f *fleet) {
-			everyone(f, func(_ int, e *entry) { e.slow, e.slowPace = span{8000, 14_000}, 0.6 })
+		{name: "process falls behind and catches up", entries: 4, rate: 400, fault: func(f *fleet) {
+			each(f, func(_ int, e *entry) { e.slowSpan, e.slowPace = span{8000, 14_000}, 0.6 })
 		}},
-		{name: "entries that stand still while nothing succeeds", entries: 4, rate: 2000, trouble: func(f *fleet) {
-			f.failing, f.mostRepeats = 0, 2
-			f.at(12_000, func() { f.failing = 1 })
-			everyone(f, func(_ int, e *entry) { f.standStill(e, span{12_000, 17_000}) })
+		{name: "entries paused while all attempts fail", entries: 4, rate: 2000, fault: func(f *fleet) {
+			f.failureRate, f.maxRetries = 0, 2
+			f.at(12_000, func() { f.failureRate = 1 })
+			each(f, func(_ int, e *entry) { f.pause(e, span{12_000, 17_000}) })
 		}},
-		{name: "all are killed while nothing succeeds", entries: 4, rate: 2000, trouble: func(f *fleet) {
-			f.failing, f.mostRepeats = 0, 2
-			f.at(12_000, func() { f.failing = 1 })
-			everyone(f, func(_ int, e *entry) { f.kill(e, span{17_000, 17_100}) })
+		{name: "all killed while all attempts fail", entries: 4, rate: 2000, fault: func(f *fleet) {
+			f.failureRate, f.maxRetries = 0, 2
+			f.at(12_000, func() { f.failureRate = 1 })
+			each(f, func(_ int, e *entry) { f.restart(e, span{17_000, 17_100}) })
 		}},
-		{name: "all are killed while nothing succeeds, after a cut", entries: 4, rate: 2000, trouble: func(f *fleet) {
-			f.failing, f.mostRepeats = 0, 2
-			f.at(12_000, func() { f.failing = 1 })
-			f.held = []span{{12_000, 12_000 + heldMost}}
-			everyone(f, func(_ int, e *entry) { f.kill(e, span{17_000, 17_100}) })
+		{name: "all killed while all attempts fail, after a network outage", entries: 4, rate: 2000, fault: func(f *fleet) {
+			f.failureRate, f.maxRetries = 0, 2
+			f.at(12_000, func() { f.failureRate = 1 })
+			f.holds = []span{{12_000, 12_000 + maxHold}}
+			each(f, func(_ int, e *entry) { f.restart(e, span{17_000, 17_100}) })
 		}},
-		{name: "entries that begin again and again while much is allowed beyond the ratio", entries: 4, rate: 100, trouble: func(f *fleet) {
-			f.failing, f.mostRepeats = 1, 10
-			everyone(f, func(_ int, e *entry) {
-				for t := clock.Millis(1000); t < day; t += 1000 {
-					f.kill(e, span{t, t + 100})
+		{name: "entries killed repeatedly with many extra retries", entries: 4, rate: 100, fault: func(f *fleet) {
+			f.failureRate, f.maxRetries = 1, 10
+			each(f, func(_ int, e *entry) {
+				for t := clock.Millis(1000); t < trafficTime; t += 1000 {
+					f.restart(e, span{t, t + 100})
 				}
 			})
 		}, extra: 540},
@@ -374,47 +374,47 @@
 					f.start(e)
 				}
 			}
-			f.callers(span{0, day}, tc.rate)
-			tc.trouble(f)
-			f.run(day + window)
+			f.addClients(span{0, trafficTime}, tc.rate)
+			tc.fault(f)
+			f.run(trafficTime + window)
 			f.check(t)
 		})
 	}
 }
 
-// seeds is how many fleets are drawn.
-var seeds = flag.Uint64("seeds", 40, "how many fleets TestTheRepeatsOfAnyFleetStayWithinTheirBound draws")
+// seeds is the number of random fleets.
+var seeds = flag.Uint64("seeds", 40, "number of random fleets of TestRandomFleetRetriesStayWithinBudget")
 
-// Whatever comes together, drawn from seeds.
-func TestTheRepeatsOfAnyFleetStayWithinTheirBound(t *testing.T) {
-	most := 0.0
+// Checks random combinations of faults.
+func TestRandomFleetRetriesStayWithinBudget(t *testing.T) {
+	worst := 0.0
 	for seed := range *seeds {
-		f := drawFleet(seed)
-		f.run(day + window)
-		got, allowed, from := f.worst()
-		if float64(got) > aim*allowed {
-			t.Errorf("seed %d: got %d repeats in the window from %d ms on, want at most %.0f of the %.0f allowed", seed, got, from, aim*allowed, allowed)
+		f := randomFleet(seed)
+		f.run(trafficTime + window)
+		got, allowed, from := f.worstWindow()
+		if float64(got) > maxUse*allowed {
+			t.Errorf("seed %d: got %d retries in the window from %d ms on, want at most %.0f of the %.0f allowed", seed, got, from, maxUse*allowed, allowed)
 		}
-		if part := float64(got) / allowed; part > most {
-			most = part
-			t.Logf("seed %d: %d repeats, %.0f allowed (%.2f), from %d ms on", seed, got, allowed, part, from)
+		if use := float64(got) / allowed; use > worst {
+			worst = use
+			t.Logf("seed %d: %d retries, %.0f allowed (%.2f), from %d ms on", seed, got, allowed, use, from)
 		}
 	}
 }
 
-// drawFleet returns a fleet with one to five troubles.
-func drawFleet(seed uint64) *fleet {
+// randomFleet returns a fleet with one to five faults.
+func randomFleet(seed uint64) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	f := newFleet(seed, 1+rng.IntN(40))
-	f.failing = 0.3 + 0.7*rng.Float64()
-	f.mostRepeats = 1 + rng.IntN(2)
+	f.failureRate = 0.3 + 0.7*rng.Float64()
+	f.maxRetries = 1 + rng.IntN(2)
 	if rng.IntN(2) == 0 {
-		later := f.failing
-		f.failing = 0
-		f.at(clock.Millis(rng.Int64N(int64(day))), func() { f.failing = later })
+		later := f.failureRate
+		f.failureRate = 0
+		f.at(clock.Millis(rng.Int64N(int64(trafficTime))), func() { f.failureRate = later })
 	}
-	f.callers(span{0, day}, 50+950*rng.Float64())
-	// some returns entries by chance, all of them in every other draw.
+	f.addClients(span{0, trafficTime}, 50+950*rng.Float64())
+	// some returns random entries, or all of them with a probability of one half.
 	some := func() []*entry {
 		if rng.IntN(2) == 0 {
 			return f.entries
@@ -428,7 +428,7 @@
 		return out
 	}
 	draw := func(most clock.Millis) span {
-		from := rng.Int64N(int64(day))
+		from := rng.Int64N(int64(trafficTime))
 		return span{clock.Millis(from), clock.Millis(from + 200 + rng.Int64N(int64(most)))}
 	}
 	for range 1 + rng.IntN(5) {
@@ -436,40 +436,40 @@
 		case 0:
 			s := draw(5000)
 			for _, e := range some() {
-				f.standStill(e, s)
+				f.pause(e, s)
 			}
 		case 1:
 			s := draw(3000)
 			for _, e := range some() {
-				f.kill(e, s)
+				f.restart(e, s)
 			}
 		case 2:
 			every := 500 + clock.Millis(rng.Int64N(3000))
 			for _, e := range some() {
-				f.kill(e, span{every, every + 300})
+				f.restart(e, span{every, every + 300})
 				every += 300
 			}
 		case 3:
 			s := draw(1500)
-			for t := s.from; t < day; t += 3000 {
-				f.held = append(f.held, span{t, t + s.to - s.from})
+			for t := s.from; t < trafficTime; t += 3000 {
+				f.holds = append(f.holds, span{t, t + s.to - s.from})
 			}
 		case 4:
-			f.callers(draw(5000), 2000*rng.Float64())
+			f.addClients(draw(5000), 2000*rng.Float64())
 		case 5:
 			s, pace := draw(6000), 0.5+0.5*rng.Float64()
 			for _, e := range some() {
-				e.slow, e.slowPace = s, pace
+				e.slowSpan, e.slowPace = s, pace
 			}
 		case 6:
 			s := draw(3000)
-			f.at(s.from, func() { f.add() })
+			f.at(s.from, func() { f.addEntry() })
 		}
 	}
 	return f
 }
 
-// events are in order of their times.
+// events is a heap ordered by time.
 type events []event
 
 type event struct {
--- a/engines/duration/duration_test.go
+++ b/engines/duration/duration_test.go
@@ -9,31 +9,31 @@
 )
 
 var (
-	streamed = &table.Route{Name: "streamed", Kind: table.Stream, Timeout: 15_000, Goal: 400, PauseGoal: 300}
-	plain    = &table.Route{Name: "plain", Kind: table.Safe, Timeout: 4000, Goal: 300}
+	streamRoute = &table.Route{Name: "streamed", Kind: table.Stream, Timeout: 15_000, Goal: 400, PauseGoal: 300}
+	plainRoute  = &table.Route{Name: "plain", Kind: table.Safe, Timeout: 4000, Goal: 300}
 )
 
-// paced returns answers whose first event and runs of events took so long, each
-// run ten times.
-func paced(first clock.Millis, runs ...clock.Millis) *duration.Estimator {
-	a := duration.NewEstimator()
-	a.RecordFirstEvent(streamed.Name, first)
+// newPaced returns an Estimator with a first event and ten times the given runs of
+// events.
+func newPaced(first clock.Millis, runs ...clock.Millis) *duration.Estimator {
+	e := duration.NewEstimator()
+	e.RecordFirstEvent(streamRoute.Name, first)
 	for range 10 {
 		for _, took := range runs {
-			a.RecordRun(streamed.Name, "llm", took)
+			e.RecordRun(streamRoute.Name, "llm", took)
 		}
 	}
-	return a
+	return e
 }
 
-func TestNothingSeenIsBoundedByTheTimeout(t *testing.T) {
+func TestEstimateWithoutSamplesIsTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		req  duration.Request
 		want clock.Millis
 	}{
-		{"stream", duration.Request{Route: streamed, Service: "llm", MaxEvents: 100}, 15_000},
-		{"plain", duration.Request{Route: plain, Service: "api"}, 4000},
+		{"stream", duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 100}, 15_000},
+		{"plain", duration.Request{Route: plainRoute, Service: "api"}, 4000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := duration.NewEstimator().Estimate(tc.req)
@@ -44,25 +44,26 @@
 	}
 }
 
-func TestAStreamThatDoesNotTellItsLengthIsBoundedByTheTimeout(t *testing.T) {
-	a := paced(50, 80, 80, 80, 80, 80)
+func TestStreamOfUnknownLengthUsesTimeout(t *testing.T) {
+	e := newPaced(50, 80, 80, 80, 80, 80)
 	for range 1000 {
-		a.RecordResponse(streamed.Name, 200)
+		e.RecordResponse(streamRoute.Name, 200)
 	}
-	got := a.Estimate(duration.Request{Route: streamed, Service: "llm"})
+	got := e.Estimate(duration.Request{Route: streamRoute, Service: "llm"})
 	if got.Max != 15_000 || got.Basis != duration.BasisTimeout {
-		t.Errorf("got %+v after a thousand short answers, want the timeout of 15000", got)
+		t.Errorf("got %+v after 1000 short responses, want the timeout of 15000", got)
 	}
 }
 
-// Short answers say nothing of a long one; what it may have of events does.
-func TestAStreamIsBoundedByTheEventsThatItCanHave(t *testing.T) {
-	a := paced(100, 160, 160, 160, 160, 160, 160, 160, 160, 160, 240)
+// Checks that short responses do not lower the bound of a long one, which follows from its
+// maximum number of events.
+func TestStreamIsBoundedByMaxEvents(t *testing.T) {
+	e := newPaced(100, 160, 160, 160, 160, 160, 160, 160, 160, 160, 240)
 	for range 100 {
-		a.RecordResponse(streamed.Name, 300)
+		e.RecordResponse(streamRoute.Name, 300)
 	}
-	got := a.Estimate(duration.Request{Route: streamed, Service: "llm", MaxEvents: 200})
-	// The first event may take two goals, 200 events 30 ms each, and one pause.
+	got := e.Estimate(duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 200})
+	// Two goals for the first event, 30 ms for each of 200 events, and one pause.
 	if want := clock.Millis(800 + 200*30 + 300); got.Max != want {
 		t.Errorf("got at most %d, want %d", got.Max, want)
 	}
@@ -74,106 +75,105 @@
 	}
 }
 
-// A few runs may all come from one fast engine.
-func TestAFewRunsTellTheUsualPaceOnly(t *testing.T) {
-	a := duration.NewEstimator()
+// Guards against a bound from a few runs, which may all come from one fast engine.
+func TestFewRunsGiveTypicalPaceOnly(t *testing.T) {
+	e := duration.NewEstimator()
 	for range 10 {
-		a.RecordRun(streamed.Name, "llm", 160)
+		e.RecordRun(streamRoute.Name, "llm", 160)
 	}
-	got := a.Estimate(duration.Request{Route: streamed, Service: "llm", MaxEvents: 200})
+	got := e.Estimate(duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 200})
 	if want := (duration.Estimate{Max: 15_000, Typical: 400 + 200*20, Basis: duration.BasisTimeout, Samples: 10}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-func TestABoundIsNeverBelowWhatWasSeen(t *testing.T) {
-	a := paced(100, 80, 80, 80, 80)
-	a.RecordResponse(streamed.Name, 9000)
-	if got := a.Estimate(duration.Request{Route: streamed, Service: "llm", MaxEvents: 20}); got.Max != 9000 {
-		t.Errorf("got at most %d, want the 9000 that an answer took", got.Max)
+func TestMaxIsAtLeastLongestResponse(t *testing.T) {
+	e := newPaced(100, 80, 80, 80, 80)
+	e.RecordResponse(streamRoute.Name, 9000)
+	if got := e.Estimate(duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 20}); got.Max != 9000 {
+		t.Errorf("got at most %d, want the 9000 of a recorded response", got.Max)
 	}
 }
 
-func TestABoundIsAtMostTheTimeout(t *testing.T) {
-	a := paced(100, 8000, 8000, 8000, 8000)
-	got := a.Estimate(duration.Request{Route: streamed, Service: "llm", MaxEvents: 200})
+func TestMaxIsAtMostTimeout(t *testing.T) {
+	e := newPaced(100, 8000, 8000, 8000, 8000)
+	got := e.Estimate(duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 200})
 	if got.Max != 15_000 || got.Typical != 15_000 {
 		t.Errorf("got %+v, want the timeout of 15000", got)
 	}
 }
 
-func TestAPlainAnswerMayTakeAFourthMoreThanTheLongest(t *testing.T) {
-	a := duration.NewEstimator()
-	a.RecordResponse(plain.Name, 400)
+func TestPlainResponseMayTakeQuarterMoreThanLongest(t *testing.T) {
+	e := duration.NewEstimator()
+	e.RecordResponse(plainRoute.Name, 400)
 	for range 200 {
-		a.RecordResponse(plain.Name, 20)
+		e.RecordResponse(plainRoute.Name, 20)
 	}
-	got := a.Estimate(duration.Request{Route: plain, Service: "api"})
+	got := e.Estimate(duration.Request{Route: plainRoute, Service: "api"})
 	if got.Max != 800 || got.Basis != duration.BasisObserved || got.Samples != 201 {
-		t.Errorf("got %+v, want 800 by 201 seen", got)
+		t.Errorf("got %+v, want 800 from 201 samples", got)
 	}
 	for range 300 {
-		a.RecordResponse(plain.Name, 20)
+		e.RecordResponse(plainRoute.Name, 20)
 	}
-	if got := a.Estimate(duration.Request{Route: plain, Service: "api"}); got.Max != 325 {
-		t.Errorf("got at most %d after 300 short answers more, want 325", got.Max)
+	if got := e.Estimate(duration.Request{Route: plainRoute, Service: "api"}); got.Max != 325 {
+		t.Errorf("got at most %d after 300 more short responses, want 325", got.Max)
 	}
 }
 
-// A request of a route that publishes no timeout is held for as long as its
-// caller waits: it is not taken to need no time at all.
-func TestARouteWithoutATimeoutIsHeldForLong(t *testing.T) {
+// Guards against an estimate of zero for routes that publish no timeout.
+func TestRouteWithoutTimeoutUsesDefault(t *testing.T) {
 	for name, kind := range map[string]table.Kind{"stream": table.Stream, "plain": table.Safe} {
 		t.Run(name, func(t *testing.T) {
 			r := &table.Route{Name: "open", Kind: kind, Goal: 400}
 			req := duration.Request{Route: r, Service: "llm", MaxEvents: 100}
-			a := duration.NewEstimator()
-			if got := a.Estimate(req); got.Max != duration.DefaultTimeout || got.Typical != duration.DefaultTimeout {
-				t.Errorf("got %+v with nothing seen, want %d", got, duration.DefaultTimeout)
+			e := duration.NewEstimator()
+			if got := e.Estimate(req); got.Max != duration.DefaultTimeout || got.Typical != duration.DefaultTimeout {
+				t.Errorf("got %+v without samples, want %d", got, duration.DefaultTimeout)
 			}
-			a.RecordResponse(r.Name, 4000)
-			if got := a.Estimate(req); got.Max < 4000 {
-				t.Errorf("got %+v after an answer of 4000 ms, want that at least", got)
+			e.RecordResponse(r.Name, 4000)
+			if got := e.Estimate(req); got.Max < 4000 {
+				t.Errorf("got %+v after a response of 4000 ms, want at least that", got)
 			}
 		})
 	}
 }
 
-// Streams that are shorter than a run tell the pace together.
-func TestShortStreamsTellThePace(t *testing.T) {
-	a := duration.NewEstimator()
-	req := duration.Request{Route: streamed, Service: "llm", MaxEvents: 16}
+// Checks that streams shorter than a run are combined into runs.
+func TestShortStreamsGivePace(t *testing.T) {
+	e := duration.NewEstimator()
+	req := duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 16}
 	for range 5 {
-		a.RecordFirstEvent(streamed.Name, 100)
-		a.RecordTail(streamed.Name, "llm", 6, 120)
+		e.RecordFirstEvent(streamRoute.Name, 100)
+		e.RecordTail(streamRoute.Name, "llm", 6, 120)
 	}
-	if got := a.Estimate(req); got.Typical != 15_000 {
-		t.Errorf("got %+v by 30 events, want the timeout", got)
+	if got := e.Estimate(req); got.Typical != 15_000 {
+		t.Errorf("got %+v from 30 events, want the timeout", got)
 	}
 	for range 3 {
-		a.RecordTail(streamed.Name, "llm", 6, 120)
+		e.RecordTail(streamRoute.Name, "llm", 6, 120)
 	}
-	if got := a.Estimate(req); got.Typical != 400+16*20 || got.Basis != duration.BasisTimeout {
-		t.Errorf("got %+v by 48 events, want usually %d, and no bound yet", got, 400+16*20)
+	if got := e.Estimate(req); got.Typical != 400+16*20 || got.Basis != duration.BasisTimeout {
+		t.Errorf("got %+v from 48 events, want usually %d, and no bound yet", got, 400+16*20)
 	}
 	for range 60 {
-		a.RecordTail(streamed.Name, "llm", 6, 120)
+		e.RecordTail(streamRoute.Name, "llm", 6, 120)
 	}
-	// The first event may take two goals, 16 events 20 ms each, and one pause.
-	if got := a.Estimate(req); got.Max != 800+16*20+300 || got.Basis != duration.BasisEvents {
+	// Two goals for the first event, 20 ms for each of 16 events, and one pause.
+	if got := e.Estimate(req); got.Max != 800+16*20+300 || got.Basis != duration.BasisEvents {
 		t.Errorf("got %+v, want at most %d by %s", got, 800+16*20+300, duration.BasisEvents)
 	}
 }
 
-// One early event does not lower what the route publishes, and a late one
-// raises it.
-func TestTheFirstEventMayTakeTwoGoalsOrMore(t *testing.T) {
+// Checks that an early first event does not lower the limit that follows from the
+// goal, and that a late one raises it.
+func TestFirstEventMayTakeTwoGoalsOrMore(t *testing.T) {
 	for name, tc := range map[string]struct{ first, want clock.Millis }{
-		"an early one": {50, 800},
-		"a late one":   {1000, 1500},
+		"early": {50, 800},
+		"late":  {1000, 1500},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := paced(tc.first, 160, 160, 160, 160).Estimate(duration.Request{Route: streamed, Service: "llm", MaxEvents: 10})
+			got := newPaced(tc.first, 160, 160, 160, 160).Estimate(duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 10})
 			if want := tc.want + 10*20 + 300; got.Max != want {
 				t.Errorf("got at most %d, want %d", got.Max, want)
 			}
@@ -181,28 +181,28 @@
 	}
 }
 
-// A plain answer that is passed on as it comes cannot be told as a failure when
-// it is cut, so none is taken by the longest seen.
-func TestLongPlainAnswersAreBoundedByTheTimeout(t *testing.T) {
-	a := duration.NewEstimator()
-	a.RecordResponse(plain.Name, 20)
-	a.RecordPassThrough(plain.Name)
-	if got := a.Estimate(duration.Request{Route: plain, Service: "api"}); got.Max != plain.Timeout || got.Basis != duration.BasisTimeout {
-		t.Errorf("got %+v, want the timeout of %d", got, plain.Timeout)
+// A plain response that is passed on while it arrives cannot be reported as a failure
+// when it is truncated, so the longest response observed must not be its bound.
+func TestPassThroughResponsesUseTimeout(t *testing.T) {
+	e := duration.NewEstimator()
+	e.RecordResponse(plainRoute.Name, 20)
+	e.RecordPassThrough(plainRoute.Name)
+	if got := e.Estimate(duration.Request{Route: plainRoute, Service: "api"}); got.Max != plainRoute.Timeout || got.Basis != duration.BasisTimeout {
+		t.Errorf("got %+v, want the timeout of %d", got, plainRoute.Timeout)
 	}
 }
 
-// Routes of one service may differ: where much is known of short events and
-// less of long ones, a route of long ones does not go by the short.
-func TestASlowRouteGoesByItsOwnPace(t *testing.T) {
-	a := duration.NewEstimator()
+// Guards against estimating a slow route of a service by the pace of a fast one that
+// has more samples.
+func TestSlowRouteUsesOwnPace(t *testing.T) {
+	e := duration.NewEstimator()
 	for range 100 {
-		a.RecordRun("another", "llm", 80)
+		e.RecordRun("another", "llm", 80)
 	}
 	for range 8 {
-		a.RecordRun(streamed.Name, "llm", 240)
+		e.RecordRun(streamRoute.Name, "llm", 240)
 	}
-	got := a.Estimate(duration.Request{Route: streamed, Service: "llm", MaxEvents: 100})
+	got := e.Estimate(duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 100})
 	if want := clock.Millis(400 + 100*30); got.Typical != want {
 		t.Errorf("got usually %d, want %d", got.Typical, want)
 	}
@@ -212,29 +212,29 @@
 }
 
 func BenchmarkEstimate(b *testing.B) {
-	a := paced(50, 160, 170, 180, 190, 200, 150, 140, 130, 120, 110, 100, 90, 160, 170, 180, 190, 200, 150, 140, 130, 120, 110, 100, 90, 160, 170)
-	req := duration.Request{Route: streamed, Service: "llm", MaxEvents: 184}
+	e := newPaced(50, 160, 170, 180, 190, 200, 150, 140, 130, 120, 110, 100, 90, 160, 170, 180, 190, 200, 150, 140, 130, 120, 110, 100, 90, 160, 170)
+	req := duration.Request{Route: streamRoute, Service: "llm", MaxEvents: 184}
 	for b.Loop() {
-		a.Estimate(req)
+		e.Estimate(req)
 	}
 }
 
-func TestTheLongestFirstSignIsKnown(t *testing.T) {
-	a := duration.NewEstimator()
-	for _, r := range []*table.Route{streamed, plain} {
-		if got := a.MaxTimeToFirstOutput(r); got != 0 {
-			t.Errorf("%s: got %d before any answer, want 0", r.Name, got)
+func TestMaxTimeToFirstOutput(t *testing.T) {
+	e := duration.NewEstimator()
+	for _, r := range []*table.Route{streamRoute, plainRoute} {
+		if got := e.MaxTimeToFirstOutput(r); got != 0 {
+			t.Errorf("%s: got %d before any response, want 0", r.Name, got)
 		}
 	}
 	for _, took := range []clock.Millis{200, 700, 300} {
-		a.RecordFirstEvent(streamed.Name, took)
-		a.RecordResponse(streamed.Name, 10*took)
-		a.RecordResponse(plain.Name, 2*took)
+		e.RecordFirstEvent(streamRoute.Name, took)
+		e.RecordResponse(streamRoute.Name, 10*took)
+		e.RecordResponse(plainRoute.Name, 2*took)
 	}
-	if got, want := a.MaxTimeToFirstOutput(streamed), clock.Millis(700); got != want {
+	if got, want := e.MaxTimeToFirstOutput(streamRoute), clock.Millis(700); got != want {
 		t.Errorf("stream: got %d, want %d", got, want)
 	}
-	if got, want := a.MaxTimeToFirstOutput(plain), clock.Millis(1400); got != want {
+	if got, want := e.MaxTimeToFirstOutput(plainRoute), clock.Millis(1400); got != want {
 		t.Errorf("plain: got %d, want %d", got, want)
 	}
 }
--- a/engines/quarantine/broken_test.go
+++ b/engines/quarantine/broken_test.go
@@ -9,15 +9,15 @@
 )
 
 // attempt returns one at a life of an engine.
-func attempt(d quarantine.Digest, life uint32) quarantine.Attempt {
+func newAttempt(d quarantine.Digest, life uint32) quarantine.Attempt {
 	return quarantine.Attempt{Digest: d, Fingerprint: 7, Incarnation: life}
 }
 
 // What shows that an engine ended may come seconds after its connections broke. It strikes
 // what broke off with it, and nothing that broke off for another reason.
-func TestLateWordOfAnEndStrikesWhatBrokeOffWithIt(t *testing.T) {
+func TestLateCrashEvidenceStrikesBrokenAttempts(t *testing.T) {
 	const life, other = 1, 2
-	silent := attempt(marked, life)
+	silent := newAttempt(poison, life)
 	silent.Silent = true
 	for name, tc := range map[string]struct {
 		before func(l *quarantine.List)
@@ -25,36 +25,36 @@
 		ended clock.Millis
 		want  int
 	}{
-		"a break of which nothing more is known": {func(l *quarantine.List) { l.RecordBrokenAttempt(attempt(marked, life), 1000) }, 0, 0},
-		"a break with the end":                   {func(l *quarantine.List) { l.RecordBrokenAttempt(attempt(marked, life), 1000) }, 3000, 1},
-		"a break of another engine":              {func(l *quarantine.List) { l.RecordBrokenAttempt(attempt(marked, other), 1000) }, 3000, 0},
+		"a break of which nothing more is known": {func(l *quarantine.List) { l.RecordBrokenAttempt(newAttempt(poison, life), 1000) }, 0, 0},
+		"a break with the end":                   {func(l *quarantine.List) { l.RecordBrokenAttempt(newAttempt(poison, life), 1000) }, 3000, 1},
+		"a break of another engine":              {func(l *quarantine.List) { l.RecordBrokenAttempt(newAttempt(poison, other), 1000) }, 3000, 0},
 		"a break long before the end": {func(l *quarantine.List) {
-			l.RecordBrokenAttempt(attempt(marked, life), 1000)
-			l.RecordBrokenAttempt(attempt(quarantine.Digest{9}, life), 2000)
+			l.RecordBrokenAttempt(newAttempt(poison, life), 1000)
+			l.RecordBrokenAttempt(newAttempt(quarantine.Digest{9}, life), 2000)
 		}, 3000, 0},
 		"a break in the moment of the last": {func(l *quarantine.List) {
-			l.RecordBrokenAttempt(attempt(marked, life), 1900)
-			l.RecordBrokenAttempt(attempt(quarantine.Digest{9}, life), 2000)
+			l.RecordBrokenAttempt(newAttempt(poison, life), 1900)
+			l.RecordBrokenAttempt(newAttempt(quarantine.Digest{9}, life), 2000)
 		}, 3000, 1},
 		"silence before the break": {func(l *quarantine.List) {
 			l.RecordBrokenAttempt(silent, 1000)
-			l.RecordBrokenAttempt(attempt(quarantine.Digest{9}, life), 2000)
+			l.RecordBrokenAttempt(newAttempt(quarantine.Digest{9}, life), 2000)
 		}, 3000, 1},
 		"heard since on a connection of before": {func(l *quarantine.List) {
-			l.RecordBrokenAttempt(attempt(marked, life), 1000)
+			l.RecordBrokenAttempt(newAttempt(poison, life), 1000)
 			l.RecordAlive(life, 500, 2500)
 		}, 3000, 0},
 		"heard since on a new connection": {func(l *quarantine.List) {
-			l.RecordBrokenAttempt(attempt(marked, life), 1000)
+			l.RecordBrokenAttempt(newAttempt(poison, life), 1000)
 			l.RecordAlive(life, 1500, 2500)
 		}, 3000, 1},
 		"the request ran well since": {func(l *quarantine.List) {
-			l.RecordBrokenAttempt(attempt(marked, life), 1000)
-			l.RecordSuccess(marked, 2000)
+			l.RecordBrokenAttempt(newAttempt(poison, life), 1000)
+			l.RecordSuccess(poison, 2000)
 		}, 3000, 0},
-		"an end that is known after minutes": {func(l *quarantine.List) { l.RecordBrokenAttempt(attempt(marked, life), 1000) }, 100_000, 0},
+		"an end that is known after minutes": {func(l *quarantine.List) { l.RecordBrokenAttempt(newAttempt(poison, life), 1000) }, 100_000, 0},
 		"an end that is told twice": {func(l *quarantine.List) {
-			l.RecordBrokenAttempt(attempt(marked, life), 1000)
+			l.RecordBrokenAttempt(newAttempt(poison, life), 1000)
 			l.RecordIncarnationEnd(life, 2000)
 		}, 3000, 1},
 	} {
@@ -64,48 +64,48 @@
 			if tc.ended > 0 {
 				l.RecordIncarnationEnd(life, tc.ended)
 			}
-			if got := l.Strikes(marked); got != tc.want {
+			if got := l.Strikes(poison); got != tc.want {
 				t.Errorf("got %d strikes, want %d", got, tc.want)
 			}
-			if _, ok := l.Admit(marked, false, 200_000).(quarantine.Allowed); !ok {
-				t.Errorf("got %T, want one strike at most to hold nothing back", l.Admit(marked, false, 200_000))
+			if _, ok := l.Admit(poison, false, 200_000).(quarantine.Allowed); !ok {
+				t.Errorf("got %T, want one strike at most to hold nothing back", l.Admit(poison, false, 200_000))
 			}
 		})
 	}
 }
 
-func TestALateStrikeIsOfTheTimeOfTheBreak(t *testing.T) {
+func TestLateStrikeHasTimeOfBreak(t *testing.T) {
 	l := newList()
-	l.RecordBrokenAttempt(attempt(marked, 1), 1000)
+	l.RecordBrokenAttempt(newAttempt(poison, 1), 1000)
 	got := l.RecordIncarnationEnd(1, 1700)
-	if len(got) != 1 || got[0].Digest != marked || got[0].Strikes != 1 || got[0].Delay != 700 {
+	if len(got) != 1 || got[0].Digest != poison || got[0].Strikes != 1 || got[0].Delay != 700 {
 		t.Fatalf("got %+v, want one strike that is 700 ms late", got)
 	}
 	// Engines that end in one go are one strike, whenever each of them is known.
-	l.RecordBrokenAttempt(attempt(marked, 2), 1100)
+	l.RecordBrokenAttempt(newAttempt(poison, 2), 1100)
 	l.RecordIncarnationEnd(2, 4000)
-	if got := l.Strikes(marked); got != 1 {
+	if got := l.Strikes(poison); got != 1 {
 		t.Errorf("got %d strikes by two ends within 100 ms, want 1", got)
 	}
 }
 
 // While it is open whether a trial ended its engine there is no other, and nothing of it
 // is left once the engine is heard or the time of a trial is over.
-func TestATrialThatBrokeOffIsWaitedFor(t *testing.T) {
+func TestBrokenTrialDelaysNextTrial(t *testing.T) {
 	suspect := func() *quarantine.List {
 		l := newList()
-		ended(l, marked, 1, 1000)
-		ended(l, marked, 2, 2000)
-		if _, ok := l.Admit(marked, false, 3000).(quarantine.Trial); !ok {
+		recordCrash(l, poison, 1, 1000)
+		recordCrash(l, poison, 2, 2000)
+		if _, ok := l.Admit(poison, false, 3000).(quarantine.Trial); !ok {
 			t.Fatal("got no trial of a suspect")
 		}
-		l.StartTrial(marked, 3, 3100)
-		trial := attempt(marked, 3)
+		l.StartTrial(poison, 3, 3100)
+		trial := newAttempt(poison, 3)
 		trial.Trial = true
 		l.RecordBrokenAttempt(trial, 3200)
 		return l
 	}
-	admitted := func(l *quarantine.List, now clock.Millis) quarantine.Admission { return l.Admit(marked, false, now) }
+	admitted := func(l *quarantine.List, now clock.Millis) quarantine.Admission { return l.Admit(poison, false, now) }
 
 	l := suspect()
 	if held, ok := admitted(l, 3300).(quarantine.Held); !ok || !held.TrialRunning {
@@ -120,7 +120,7 @@
 	if held, ok := admitted(l, 3950).(quarantine.Held); !ok || held.TrialRunning || held.Strikes != 3 {
 		t.Errorf("got %+v after the trial's engine ended, want it held after three strikes", held)
 	}
-	fail(t, l, marked, 4, 4300)
+	failTrial(t, l, poison, 4, 4300)
 	if held, ok := admitted(l, 60_000).(quarantine.Held); !ok {
 		t.Errorf("got %+v after two failed trials, want it held", held)
 	}
@@ -133,7 +133,7 @@
 }
 
 // A flood of breaks costs a bounded memory, and the latest are remembered.
-func TestAFloodOfBreaksIsBounded(t *testing.T) {
+func TestBrokenAttemptsAreBounded(t *testing.T) {
 	const flood, kept = 10_000, 256
 	l := newList()
 	nth := func(n uint64) (d quarantine.Digest) {
@@ -141,14 +141,14 @@
 		return d
 	}
 	for n := range uint64(flood) {
-		l.RecordBrokenAttempt(attempt(nth(n), 1), 1000)
+		l.RecordBrokenAttempt(newAttempt(nth(n), 1), 1000)
 	}
 	if got := len(l.RecordIncarnationEnd(1, 2000)); got > kept {
 		t.Errorf("got %d attempts remembered, want at most %d", got, kept)
 	}
 	l = newList()
 	for n := range uint64(flood) {
-		l.RecordBrokenAttempt(attempt(nth(n), 1), clock.Millis(1000+n/100))
+		l.RecordBrokenAttempt(newAttempt(nth(n), 1), clock.Millis(1000+n/100))
 	}
 	l.RecordIncarnationEnd(1, 2000)
 	if got := l.Strikes(nth(flood - 1)); got != 1 {
@@ -158,7 +158,7 @@
 		t.Error("got a shape forgotten that was struck, want it known")
 	}
 	empty := newList()
-	empty.RecordBrokenAttempt(attempt(marked, 1), 1000)
+	empty.RecordBrokenAttempt(newAttempt(poison, 1), 1000)
 	if empty.Empty() || !empty.MayContain(7) {
 		t.Error("got a list empty that remembers a break, want not")
 	}
--- a/engines/quarantine/digest_test.go
+++ b/engines/quarantine/digest_test.go
@@ -7,11 +7,11 @@
 	"github.com/weldfall/weldfall/engines/quarantine"
 )
 
-var usual = quarantine.RequestKey{Workspace: "ws-1", Host: "desk.example", Method: "POST", URI: "/chat/a?b=c"}
+var baseKey = quarantine.RequestKey{Workspace: "ws-1", Host: "desk.example", Method: "POST", URI: "/chat/a?b=c"}
 
-func TestADigestNamesWhatWasAsked(t *testing.T) {
+func TestDigestIdentifiesRequest(t *testing.T) {
 	body := []byte("the body")
-	want := quarantine.DigestOf(usual, body)
+	want := quarantine.DigestOf(baseKey, body)
 	for name, tc := range map[string]struct {
 		asked func(*quarantine.RequestKey)
 		body  []byte
@@ -27,24 +27,24 @@
 		"the path's end in the body":   {func(a *quarantine.RequestKey) { a.URI = "/chat/a?b=" }, []byte("cthe body")},
 		"the path's end in the method": {func(a *quarantine.RequestKey) { a.Method, a.URI = "POST/", "chat/a?b=c" }, body},
 	} {
-		a := usual
+		a := baseKey
 		tc.asked(&a)
 		if got := quarantine.DigestOf(a, tc.body); got == want {
 			t.Errorf("%s: got the same digest, want another", name)
 		}
 	}
-	if got := quarantine.DigestOf(usual, bytes.Clone(body)); got != want {
+	if got := quarantine.DigestOf(baseKey, bytes.Clone(body)); got != want {
 		t.Errorf("got %s for the same request, want %s", got, want)
 	}
 }
 
-func TestABodyMayComeInPieces(t *testing.T) {
+func TestHasherAcceptsBodyInChunks(t *testing.T) {
 	body := bytes.Repeat([]byte("a body of some length, "), 100)
-	h := quarantine.NewHasher(usual)
+	h := quarantine.NewHasher(baseKey)
 	for _, b := range body {
 		_, _ = h.Write([]byte{b})
 	}
-	if got, want := h.Digest(), quarantine.DigestOf(usual, body); got != want {
+	if got, want := h.Digest(), quarantine.DigestOf(baseKey, body); got != want {
 		t.Errorf("got %s byte by byte, want %s", got, want)
 	}
 }
--- a/engines/quarantine/simulation_test.go
+++ b/engines/quarantine/simulation_test.go
@@ -9,11 +9,11 @@
 )
 
 // contact is the time in which all entries must know a request after its third end.
-const contact clock.Millis = 3000
+const spreadTime clock.Millis = 3000
 
 // A caller sends a request that ends engines again and again, to any entry, also where
 // some have just started, were cut off for a while or cannot be heard.
-func TestFewEnginesEndUnderARequestInAFleet(t *testing.T) {
+func TestRequestCrashesFewEnginesInFleet(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		entries int
@@ -27,19 +27,19 @@
 		{name: "27", entries: 27},
 		{name: "103", entries: 103},
 		{name: "103, one just started", entries: 103, trouble: func(f *fleet) {
-			f.at(4000, func() { f.restart(f.entries[0]) })
+			f.after(4000, func() { f.restart(f.entries[0]) })
 		}},
 		{name: "103, all started one after the other", entries: 103, forgets: true, trouble: func(f *fleet) {
 			for i, e := range f.entries {
-				f.at(4000+clock.Millis(i)*500, func() { f.restart(e) })
+				f.after(4000+clock.Millis(i)*500, func() { f.restart(e) })
 			}
 		}},
 		{name: "27, one cut off and back", entries: 27, trouble: func(f *fleet) {
-			f.entries[0].deaf, f.entries[0].alone = true, true
-			f.at(10_000, func() { f.entries[0].deaf, f.entries[0].alone = false, false })
+			f.entries[0].disconnected, f.entries[0].isolated = true, true
+			f.after(10_000, func() { f.entries[0].disconnected, f.entries[0].isolated = false, false })
 		}},
 		{name: "27, one that the others can't hear", entries: 27, trouble: func(f *fleet) {
-			f.entries[0].deaf, f.entries[0].alone = true, true
+			f.entries[0].disconnected, f.entries[0].isolated = true, true
 		}},
 	} {
 		for seed := range uint64(10) {
@@ -48,12 +48,12 @@
 				if tc.trouble != nil {
 					tc.trouble(f)
 				}
-				f.every(100, 60_000, func() { f.come(f.any(), marked, 0, 0) })
-				f.run(61_000)
-				if got := f.late(contact); got > 3 {
+				f.every(100, 60_000, func() { f.submit(f.randomEntry(), poison, 0, 0) })
+				f.advance(61_000)
+				if got := f.lateArrivals(spreadTime); got > 3 {
 					t.Errorf("got %d arrivals once all must know, want at most 3", got)
 				}
-				if got := len(f.ends); got > 8 && !tc.forgets {
+				if got := len(f.crashes); got > 8 && !tc.forgets {
 					t.Errorf("got %d engines that ended, want at most 8", got)
 				}
 			})
@@ -62,7 +62,7 @@
 }
 
 // Callers who send it many times at once, or seldom, end few engines once all must know.
-func TestHowARequestComesMattersLittle(t *testing.T) {
+func TestSubmissionPatternMattersLittle(t *testing.T) {
 	for _, tc := range []struct {
 		every clock.Millis
 		times int
@@ -74,14 +74,14 @@
 				f := newFleet(seed, 5, 12)
 				f.every(tc.every, 900_000, func() {
 					for range tc.times {
-						f.come(f.any(), marked, 0, 0)
+						f.submit(f.randomEntry(), poison, 0, 0)
 					}
 				})
-				f.run(901_000)
-				if got := f.late(contact); got > 3 {
+				f.advance(901_000)
+				if got := f.lateArrivals(spreadTime); got > 3 {
 					t.Errorf("got %d arrivals once all must know, want at most 3", got)
 				}
-				if got := len(f.ends); tc.times == 1 && tc.every >= 100 && got > 8 {
+				if got := len(f.crashes); tc.times == 1 && tc.every >= 100 && got > 8 {
 					t.Errorf("got %d engines that ended, want at most 8", got)
 				}
 			})
@@ -90,27 +90,27 @@
 }
 
 // hot is a request that comes sixty times a second and runs for 0.15 s.
-var hot = digestOf(2)
+var frequent = digestOf(2)
 
-func (f *fleet) heat(until clock.Millis) {
-	f.every(16, until, func() { f.come(f.any(), hot, 150, 0) })
+func (f *fleet) submitFrequent(until clock.Millis) {
+	f.every(16, until, func() { f.submit(f.randomEntry(), frequent, 150, 0) })
 }
 
 // A request that comes often runs on beside one that ends engines, however often that
 // one does: here it is sent to engines without being asked about.
-func TestAHotRequestIsServedBesideEndingEngines(t *testing.T) {
+func TestFrequentRequestIsServedDuringOtherCrashes(t *testing.T) {
 	for _, entries := range []int{3, 27, 103} {
 		for seed := range uint64(4) {
 			f := newFleet(seed, entries, 12)
-			f.heat(20_000)
+			f.submitFrequent(20_000)
 			f.every(150, 20_000, func() {
-				if up := f.up(); len(up) > 1 {
-					f.end(up[f.rng.IntN(len(up))])
+				if up := f.available(); len(up) > 1 {
+					f.crash(up[f.rng.IntN(len(up))])
 				}
 			})
-			f.run(21_000)
-			t.Logf("%d entries, seed %d: %d served, %d refused, %d broken off", entries, seed, f.served[hot], f.refused[hot], f.broken[hot])
-			if got, all := f.refused[hot], f.served[hot]+f.refused[hot]+f.broken[hot]; got > all/50 {
+			f.advance(21_000)
+			t.Logf("%d entries, seed %d: %d served, %d refused, %d broken off", entries, seed, f.served[frequent], f.refused[frequent], f.broken[frequent])
+			if got, all := f.refused[frequent], f.served[frequent]+f.refused[frequent]+f.broken[frequent]; got > all/50 {
 				t.Errorf("%d entries, seed %d: got %d of %d refused, want at most one in 50", entries, seed, got, all)
 			}
 		}
@@ -119,25 +119,25 @@
 
 // A rack, a herd or a service ends three times in a row. What ran there is served again
 // within a second of running well once.
-func TestWhatEndedWithAHerdIsServedAgain(t *testing.T) {
+func TestRequestIsServedAgainAfterMassCrashes(t *testing.T) {
 	for name, share := range map[string]int{"a rack": 4, "a herd": 8, "a service": 12} {
 		for _, entries := range []int{3, 27, 103} {
 			for seed := range uint64(10) {
 				f := newFleet(seed, entries, 12)
-				f.heat(20_000)
+				f.submitFrequent(20_000)
 				for i := range clock.Millis(3) {
-					f.at(2000+i*1200, func() {
+					f.after(2000+i*1200, func() {
 						for _, e := range f.engines[:share] {
-							f.at(f.hop(), func() { f.end(e) })
+							f.after(f.latency(), func() { f.crash(e) })
 						}
 					})
 				}
 				// It ran well once by then: the engines are back, a trial that failed with
 				// the third time is made again, and a second later all know.
-				f.run(4400 + fleetDown + 1000 + quarantine.ClaimSettleTime + 150 + 1000)
-				before := f.served[hot]
-				f.run(3000)
-				if got := f.served[hot] - before; got < 180 {
+				f.advance(4400 + restartTime + 1000 + quarantine.ClaimSettleTime + 150 + 1000)
+				before := f.served[frequent]
+				f.advance(3000)
+				if got := f.served[frequent] - before; got < 180 {
 					t.Errorf("%s, %d entries, seed %d: got %d served in 3 s, want nearly all of 187", name, entries, seed, got)
 				}
 			}
@@ -146,29 +146,29 @@
 }
 
 // The same for a long request, beside usual ones that tell which engines ended.
-func TestWhatRanThroughThreeHerdsRunsWell(t *testing.T) {
+func TestLongRequestSucceedsAfterThreeMassCrashes(t *testing.T) {
 	for _, entries := range []int{3, 27, 103} {
 		for seed := range uint64(10) {
 			f := newFleet(seed, entries, 12)
 			long, n := digestOf(3), uint64(1000)
 			f.every(10, 20_000, func() {
-				f.come(f.any(), digestOf(n), 200, 0)
+				f.submit(f.randomEntry(), digestOf(n), 200, 0)
 				n++
 			})
 			f.every(50, 20_000, func() {
 				if f.served[long] == 0 {
-					f.come(f.any(), long, 2500, 0)
+					f.submit(f.randomEntry(), long, 2500, 0)
 				}
 			})
 			for i := range clock.Millis(3) {
-				f.at(2000+i*2000, func() {
+				f.after(2000+i*2000, func() {
 					for _, e := range f.engines {
-						f.at(f.hop(), func() { f.end(e) })
+						f.after(f.latency(), func() { f.crash(e) })
 					}
 				})
 			}
-			f.run(20_000)
-			if got, want := f.servedAt[long], 1000+6000+fleetDown+1500+2500; f.served[long] == 0 || got > want {
+			f.advance(20_000)
+			if got, want := f.servedAt[long], 1000+6000+restartTime+1500+2500; f.served[long] == 0 || got > want {
 				t.Errorf("%d entries, seed %d: got it served at %d, want it by %d", entries, seed, got, want)
 			}
 		}
@@ -177,7 +177,7 @@
 
 // Of the requests that run beside one that ends engines few are struck by chance more
 // than once, though their callers send all of them again at once.
-func TestChanceStrikesFew(t *testing.T) {
+func TestCoincidentStrikesAreFew(t *testing.T) {
 	const plays, engines = 100, 12
 	for _, tc := range []struct {
 		n          int
@@ -189,10 +189,10 @@
 		for seed := range uint64(plays) {
 			f := newFleet(seed, 5, engines)
 			for i := range tc.n * engines {
-				f.come(f.any(), digestOf(uint64(100+i)), 20_000, 10)
+				f.submit(f.randomEntry(), digestOf(uint64(100+i)), 20_000, 10)
 			}
-			f.every(500, 6000, func() { f.come(f.any(), marked, 0, 0) })
-			f.run(8000)
+			f.every(500, 6000, func() { f.submit(f.randomEntry(), poison, 0, 0) })
+			f.advance(8000)
 			for i := range tc.n * engines {
 				d := digestOf(uint64(100 + i))
 				strikes := f.entries[0].list.Strikes(d)
