--- a/engines/quarantine/digest_test.go
+++ b/engines/quarantine/digest_test.go
@@ -13,23 +13,23 @@
 	body := []byte("the body")
 	want := quarantine.DigestOf(baseKey, body)
 	for name, tc := range map[string]struct {
-		asked func(*quarantine.RequestKey)
-		body  []byte
+		change func(*quarantine.RequestKey)
+		body   []byte
 	}{
-		"another workspace":            {func(a *quarantine.RequestKey) { a.Workspace = "ws-2" }, body},
-		"no workspace":                 {func(a *quarantine.RequestKey) { a.Workspace = "" }, body},
-		"another host":                 {func(a *quarantine.RequestKey) { a.Host = "other.example" }, body},
-		"another method":               {func(a *quarantine.RequestKey) { a.Method = "PUT" }, body},
-		"another path":                 {func(a *quarantine.RequestKey) { a.URI = "/chat/b?b=c" }, body},
-		"another query":                {func(a *quarantine.RequestKey) { a.URI = "/chat/a?b=d" }, body},
+		"another workspace":            {func(k *quarantine.RequestKey) { k.Workspace = "ws-2" }, body},
+		"no workspace":                 {func(k *quarantine.RequestKey) { k.Workspace = "" }, body},
+		"another host":                 {func(k *quarantine.RequestKey) { k.Host = "other.example" }, body},
+		"another method":               {func(k *quarantine.RequestKey) { k.Method = "PUT" }, body},
+		"another path":                 {func(k *quarantine.RequestKey) { k.URI = "/chat/b?b=c" }, body},
+		"another query":                {func(k *quarantine.RequestKey) { k.URI = "/chat/a?b=d" }, body},
 		"a longer body":                {func(*quarantine.RequestKey) {}, []byte("the body and more")},
 		"a shorter body":               {func(*quarantine.RequestKey) {}, []byte("the bod")},
-		"the path's end in the body":   {func(a *quarantine.RequestKey) { a.URI = "/chat/a?b=" }, []byte("cthe body")},
-		"the path's end in the method": {func(a *quarantine.RequestKey) { a.Method, a.URI = "POST/", "chat/a?b=c" }, body},
+		"the path's end in the body":   {func(k *quarantine.RequestKey) { k.URI = "/chat/a?b=" }, []byte("cthe body")},
+		"the path's end in the method": {func(k *quarantine.RequestKey) { k.Method, k.URI = "POST/", "chat/a?b=c" }, body},
 	} {
-		a := baseKey
-		tc.asked(&a)
-		if got := quarantine.DigestOf(a, tc.body); got == want {
+		key := baseKey
+		tc.change(&key)
+		if got := quarantine.DigestOf(key, tc.body); got == want {
 			t.Errorf("%s: got the same digest, want another", name)
 		}
 	}
--- a/engines/quarantine/fleet_test.go
+++ b/engines/quarantine/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/weldfall/weldfall/engines/quarantine"
 )
 
-// fleet is a deployment without network: entries that tell each other of suspects,
-// engines that end, and callers.
+// fleet simulates a deployment: entries that exchange reports of suspects, engines that crash,
+// and clients.
 type fleet struct {
 	rng             *rand.Rand
 	now             clock.Millis
@@ -21,30 +21,30 @@
 	entries         []*entry
 	engines         []*engine
 	lastIncarnation uint32
-	// ends are the times at which engines ended under the marked request.
+	// crashes holds the times at which engines crashed under the poison request.
 	crashes []clock.Millis
-	// arrivals are the times at which it reached engines, from entries that have been
-	// there for a while.
+	// arrivals holds the times at which it reached engines, from entries that did not start
+	// recently.
 	arrivals []clock.Millis
-	// served and refused count the others by digest.
+	// served, refused and broken count the other requests by digest.
 	served, refused, broken map[quarantine.Digest]int
-	// servedAt is when each was first served.
+	// servedAt holds the times at which requests were first served.
 	servedAt map[quarantine.Digest]clock.Millis
 }
 
 type entry struct {
 	list *quarantine.List
-	// deaf entries neither hear others nor are heard; they know it if alone is true.
+	// disconnected entries exchange no messages with others. They know it if isolated is set.
 	disconnected, isolated bool
-	// since is when it started.
+	// startedAt is when the entry was restarted, zero if never.
 	startedAt clock.Millis
-	// waking is true while news are about to be told.
+	// sending is true while a message is scheduled.
 	sending bool
 }
 
 type engine struct {
 	incarnation uint32
-	// back is when the engine is there again, if it is not.
+	// upAt is when the engine becomes available again after a crash.
 	upAt    clock.Millis
 	running []*run
 }
@@ -56,22 +56,22 @@
 	engine      *engine
 	incarnation uint32
 	trial       bool
-	// again is how many more times its caller sends it, if it breaks off.
+	// retries is the number of times that the client will retry the request.
 	retries  int
 	duration clock.Millis
 }
 
-// Figures of the simulation.
+// Parameters of the simulation.
 const (
 	restartTime     clock.Millis = 500
 	crashDelay      clock.Millis = 60
 	compareInterval clock.Millis = 400
 	fanout                       = 3
-	// listLag is how late the list of engines says that one is gone.
+	// listLag is the time until the list of engines reports a crash.
 	listLag clock.Millis = 1500
 )
 
-// marked is the digest of the request that ends engines.
+// poison is the digest of the request that crashes engines.
 var poison = digestOf(1)
 
 func digestOf(n uint64) (d quarantine.Digest) {
@@ -96,12 +96,12 @@
 	return f
 }
 
-// events are what is to happen, the earliest first.
+// events is a heap of scheduled events, the earliest first.
 type events []event
 
 type event struct {
 	at clock.Millis
-	// n is the place in which events were entered.
+	// seq is the order in which events were scheduled.
 	seq int
 	do  func()
 }
@@ -119,13 +119,13 @@
 	return x
 }
 
-// at has f called so much later.
-func (f *fleet) after(later clock.Millis, do func()) {
+// after schedules do after a delay.
+func (f *fleet) after(delay clock.Millis, do func()) {
 	f.scheduled++
-	heap.Push(&f.queue, event{at: f.now + later, seq: f.scheduled, do: do})
+	heap.Push(&f.queue, event{at: f.now + delay, seq: f.scheduled, do: do})
 }
 
-// run lets so much time go by.
+// advance processes the events of the next d milliseconds.
 func (f *fleet) advance(d clock.Millis) {
 	end := f.now + d
 	for len(f.queue) > 0 && f.queue[0].at <= end {
@@ -136,7 +136,7 @@
 	f.now = end
 }
 
-// every has f called from now on.
+// every calls do now and then once per period, until the given time.
 func (f *fleet) every(period clock.Millis, until clock.Millis, do func()) {
 	if f.now >= until {
 		return
@@ -145,12 +145,12 @@
 	f.after(period, func() { f.every(period, until, do) })
 }
 
-// hop is how long a message takes.
+// latency returns a random latency of a message.
 func (f *fleet) latency() clock.Millis { return clock.Millis(1 + f.rng.IntN(8)) }
 
 func notLost(uint32) bool { return false }
 
-// tell sends the news of an entry to some others.
+// flush sends the pending reports of an entry to random peers.
 func (f *fleet) flush(e *entry) {
 	if e.sending || !e.list.HasPending() {
 		return
@@ -158,44 +158,44 @@
 	e.sending = true
 	f.after(1, func() {
 		e.sending = false
-		text := e.list.TakePending(quarantine.MaxReports, f.now).Pack()
+		packed := e.list.TakePending(quarantine.MaxReports, f.now).Pack()
 		for _, i := range f.rng.Perm(len(f.entries))[:min(fanout+1, len(f.entries))] {
-			f.send(e, f.entries[i], text)
+			f.send(e, f.entries[i], packed)
 		}
 		f.flush(e)
 	})
 }
 
-// send brings news to another entry, unless one of the two is deaf.
-func (f *fleet) send(from, to *entry, text string) {
+// send delivers reports to another entry, unless one of the two is disconnected.
+func (f *fleet) send(from, to *entry, packed string) {
 	f.after(f.latency(), func() {
-		news, err := quarantine.Unpack(text)
+		reports, err := quarantine.Unpack(packed)
 		if err != nil {
 			panic(err)
 		}
 		if from == to || from.disconnected || to.disconnected {
 			return
 		}
-		for _, it := range news {
-			to.list.Merge(it, notLost, f.now)
+		for _, r := range reports {
+			to.list.Merge(r, notLost, f.now)
 		}
 		f.flush(to)
 	})
 }
 
-// restart makes an entry forget everything. It asks another at once.
+// restart replaces an entry by an empty one, which compares with a peer at once.
 func (f *fleet) restart(e *entry) {
 	*e = entry{list: quarantine.NewList(f.rng.Uint32), startedAt: f.now}
 	f.compare(e)
 }
 
-// askOn has an entry ask others from now on.
+// startComparing makes an entry compare with peers periodically.
 func (f *fleet) startComparing(e *entry) {
 	f.compare(e)
 	f.after(compareInterval, func() { f.startComparing(e) })
 }
 
-// ask is a question to another entry by chance, and its answer.
+// compare exchanges samples with a random peer if the checksums differ.
 func (f *fleet) compare(e *entry) {
 	o := f.entries[f.rng.IntN(len(f.entries))]
 	if o.list.Checksum(f.now) == e.list.Checksum(f.now) {
@@ -205,7 +205,7 @@
 	f.send(o, e, o.list.Sample(16, f.now).Pack())
 }
 
-// up returns the engines that are there, the least busy first if alone is true.
+// available returns the engines that are not down.
 func (f *fleet) available() []*engine {
 	var out []*engine
 	for _, e := range f.engines {
@@ -216,14 +216,14 @@
 	return out
 }
 
-// come has a request come to an entry.
-func (f *fleet) submit(e *entry, d quarantine.Digest, lasts clock.Millis, again int) {
-	up := f.available()
-	if len(up) == 0 {
+// submit sends a request to an entry.
+func (f *fleet) submit(e *entry, d quarantine.Digest, duration clock.Millis, retries int) {
+	engines := f.available()
+	if len(engines) == 0 {
 		f.refused[d]++
 		return
 	}
-	r := &run{digest: d, entry: e, retries: again, duration: lasts}
+	r := &run{digest: d, entry: e, retries: retries, duration: duration}
 	switch e.list.Admit(d, e.isolated, f.now).(type) {
 	case quarantine.Held:
 		f.refused[d]++
@@ -231,36 +231,37 @@
 		f.flush(e)
 		f.after(quarantine.ClaimSettleTime, func() { f.startTrial(r) })
 	case quarantine.Allowed:
-		f.start(r, up[f.rng.IntN(len(up))])
+		f.start(r, engines[f.rng.IntN(len(engines))])
 	}
 }
 
-// try starts a trial, unless another entry claimed it as well.
+// startTrial starts a claimed trial on the least loaded engine, unless another entry won the
+// claim.
 func (f *fleet) startTrial(r *run) {
-	up := f.available()
-	if len(up) == 0 || !r.entry.list.OwnsTrial(r.digest, f.now) {
+	engines := f.available()
+	if len(engines) == 0 || !r.entry.list.OwnsTrial(r.digest, f.now) {
 		f.refused[r.digest]++
 		r.entry.list.EndTrial(r.digest, f.now)
 		f.flush(r.entry)
 		return
 	}
-	on := up[0]
-	for _, o := range up {
-		if len(o.running) < len(on.running) {
-			on = o
+	target := engines[0]
+	for _, o := range engines {
+		if len(o.running) < len(target.running) {
+			target = o
 		}
 	}
-	r.entry.list.StartTrial(r.digest, on.incarnation, f.now)
+	r.entry.list.StartTrial(r.digest, target.incarnation, f.now)
 	f.flush(r.entry)
 	r.trial = true
-	f.start(r, on)
+	f.start(r, target)
 }
 
-func (f *fleet) start(r *run, on *engine) {
-	r.engine, r.incarnation = on, on.incarnation
-	on.running = append(on.running, r)
+func (f *fleet) start(r *run, e *engine) {
+	r.engine, r.incarnation = e, e.incarnation
+	e.running = append(e.running, r)
 	if r.digest == poison {
-		// What an entry does not know that has just started does not count.
+		// Entries that started recently may not have received the reports yet.
 		if r.entry.startedAt == 0 || f.now-r.entry.startedAt > spreadTime {
 			f.arrivals = append(f.arrivals, f.now)
 		}
@@ -271,11 +272,11 @@
 }
 
 func (f *fleet) finish(r *run) {
-	at := slices.Index(r.engine.running, r)
-	if at < 0 {
+	i := slices.Index(r.engine.running, r)
+	if i < 0 {
 		return
 	}
-	r.engine.running = slices.Delete(r.engine.running, at, at+1)
+	r.engine.running = slices.Delete(r.engine.running, i, i+1)
 	f.served[r.digest]++
 	if f.served[r.digest] == 1 {
 		f.servedAt[r.digest] = f.now
@@ -291,13 +292,13 @@
 	}
 }
 
-// end ends an engine and breaks off what it runs.
+// crash crashes an engine, which breaks its requests.
 func (f *fleet) crash(e *engine) {
 	running := e.running
-	life := e.incarnation
+	incarnation := e.incarnation
 	f.after(listLag, func() {
 		for _, o := range f.entries {
-			o.list.ConfirmCrash(life)
+			o.list.ConfirmCrash(incarnation)
 		}
 	})
 	f.lastIncarnation++
@@ -314,17 +315,17 @@
 	}
 }
 
-// any is an entry by chance.
+// randomEntry returns a random entry.
 func (f *fleet) randomEntry() *entry { return f.entries[f.rng.IntN(len(f.entries))] }
 
-// late counts the arrivals later than a time after the third end.
-func (f *fleet) lateArrivals(after clock.Millis) int {
+// lateArrivals counts the arrivals later than d after the third crash.
+func (f *fleet) lateArrivals(d clock.Millis) int {
 	if len(f.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range f.arrivals {
-		if at > f.crashes[2]+after {
+		if at > f.crashes[2]+d {
 			n++
 		}
 	}
--- a/engines/quarantine/list_test.go
+++ b/engines/quarantine/list_test.go
@@ -14,31 +14,31 @@
 
 func newList() *quarantine.List { return quarantine.NewList(rand.New(rand.NewPCG(1, 2)).Uint32) }
 
-// ended records that a life of an engine ended under a request.
-func recordCrash(l *quarantine.List, d quarantine.Digest, life uint32, now clock.Millis) {
-	l.RecordCrash(quarantine.Attempt{Digest: d, Fingerprint: uint32(d[0]), Incarnation: life}, now)
+// recordCrash records that an engine crashed under a request.
+func recordCrash(l *quarantine.List, d quarantine.Digest, incarnation uint32, now clock.Millis) {
+	l.RecordCrash(quarantine.Attempt{Digest: d, Fingerprint: uint32(d[0]), Incarnation: incarnation}, now)
 }
 
-// fail has a suspect fail a trial.
-func failTrial(t *testing.T, l *quarantine.List, d quarantine.Digest, life uint32, now clock.Millis) {
+// failTrial runs a trial of a suspect whose engine crashes.
+func failTrial(t *testing.T, l *quarantine.List, d quarantine.Digest, incarnation uint32, now clock.Millis) {
 	t.Helper()
 	if a, ok := l.Admit(d, false, now).(quarantine.Trial); !ok {
 		t.Fatalf("got %T at %d, want a trial", l.Admit(d, false, now), now)
 	} else if a.Strikes < quarantine.SuspectStrikes {
 		t.Errorf("got a trial after %d strikes, want %d", a.Strikes, quarantine.SuspectStrikes)
 	}
-	l.StartTrial(d, life, now)
-	l.RecordCrash(quarantine.Attempt{Digest: d, Incarnation: life, Trial: true}, now+60)
+	l.StartTrial(d, incarnation, now)
+	l.RecordCrash(quarantine.Attempt{Digest: d, Incarnation: incarnation, Trial: true}, now+60)
 }
 
 func TestTwoStrikesMakeSuspectAndTwoFailedTrialsHoldItBack(t *testing.T) {
 	l := newList()
 	if _, ok := l.Admit(poison, false, 0).(quarantine.Allowed); !ok {
-		t.Errorf("got %T for a request that is not known, want it free", l.Admit(poison, false, 0))
+		t.Errorf("got %T for an unknown request, want it allowed", l.Admit(poison, false, 0))
 	}
 	recordCrash(l, poison, 1, 1000)
 	if _, ok := l.Admit(poison, false, 1001).(quarantine.Allowed); !ok {
-		t.Errorf("got %T after one strike, want it free", l.Admit(poison, false, 1001))
+		t.Errorf("got %T after one strike, want it allowed", l.Admit(poison, false, 1001))
 	}
 	recordCrash(l, poison, 2, 2000)
 	failTrial(t, l, poison, 3, 2001)
@@ -53,15 +53,15 @@
 		}
 	}
 	if !l.RecordSuccess(poison, 3_000_001) {
-		t.Error("got no change by a run that ended well, want all strikes gone")
+		t.Error("got no change by a success, want all strikes cleared")
 	}
 	if _, ok := l.Admit(poison, false, 3_000_002).(quarantine.Allowed); !ok {
-		t.Errorf("got %T after it ran well, want it free", l.Admit(poison, false, 3_000_002))
+		t.Errorf("got %T after a success, want it allowed", l.Admit(poison, false, 3_000_002))
 	}
 }
 
-// Guards against a trial of a request that two had proved to end engines, since ends that
-// came later, or word of them that was late, push these out.
+// Guards against another trial of a request that two failed trials had proven to crash engines:
+// later crashes, or late reports of them, must not evict these trials from the record.
 func TestOtherCrashesDoNotEvictFailedTrials(t *testing.T) {
 	l := newList()
 	recordCrash(l, poison, 1, 1000)
@@ -73,35 +73,35 @@
 	}
 	for _, now := range []clock.Millis{40_000, 3_000_000} {
 		if a, ok := l.Admit(poison, false, now).(quarantine.Held); !ok || a.RetryAfter < 60_000 {
-			t.Errorf("got %T %+v at %d after 20 other ends, want it held", a, a, now)
+			t.Errorf("got %T %+v at %d after 20 other crashes, want it held", a, a, now)
 		}
 	}
 }
 
-// Guards against a trial whose entry heard, after it had claimed it, that others had proved
-// the request to end engines.
+// Guards against a trial that runs although its entry received, after it had claimed the trial,
+// reports that prove that the request crashes engines.
 func TestClaimIsVoidOnceRequestIsProven(t *testing.T) {
-	knows, started := newList(), newList()
-	recordCrash(knows, poison, 1, 1000)
-	recordCrash(knows, poison, 2, 2000)
-	failTrial(t, knows, poison, 3, 2001)
-	failTrial(t, knows, poison, 4, 3100)
-	recordCrash(started, poison, 5, 20_000)
-	recordCrash(started, poison, 6, 20_500)
-	if _, ok := started.Admit(poison, false, 20_501).(quarantine.Trial); !ok {
-		t.Fatalf("got %T, want a trial", started.Admit(poison, false, 20_501))
-	}
-	if got := started.RemainingPause(poison, 20_550); got > 0 {
-		t.Errorf("got %d ms to wait before it is known, want none", got)
-	}
-	merge(t, started, knows.TakePending(10, 20_560), 20_560)
-	if got, least := started.RemainingPause(poison, 20_600), clock.Millis(60_000); got < least {
-		t.Errorf("got %d ms to wait once it is known, want %d or more", got, least)
+	informed, restarted := newList(), newList()
+	recordCrash(informed, poison, 1, 1000)
+	recordCrash(informed, poison, 2, 2000)
+	failTrial(t, informed, poison, 3, 2001)
+	failTrial(t, informed, poison, 4, 3100)
+	recordCrash(restarted, poison, 5, 20_000)
+	recordCrash(restarted, poison, 6, 20_500)
+	if _, ok := restarted.Admit(poison, false, 20_501).(quarantine.Trial); !ok {
+		t.Fatalf("got %T, want a trial", restarted.Admit(poison, false, 20_501))
+	}
+	if got := restarted.RemainingPause(poison, 20_550); got > 0 {
+		t.Errorf("got a pause of %d ms before the reports, want none", got)
+	}
+	merge(t, restarted, informed.TakePending(10, 20_560), 20_560)
+	if got, least := restarted.RemainingPause(poison, 20_600), clock.Millis(60_000); got < least {
+		t.Errorf("got a pause of %d ms after the reports, want %d or more", got, least)
 	}
 }
 
-// While a trial is under way nobody else sends the same; one without a result changes
-// nothing.
+// Checks that a request is not sent while its trial is running, and that a trial without a
+// result changes nothing.
 func TestOneTrialAtATime(t *testing.T) {
 	l := newList()
 	recordCrash(l, poison, 1, 1000)
@@ -110,7 +110,7 @@
 		t.Fatalf("got %T, want a trial", l.Admit(poison, false, 2001))
 	}
 	if held, ok := l.Admit(poison, false, 2002).(quarantine.Held); !ok || !held.TrialRunning || held.RetryAfter > 500 {
-		t.Errorf("got %+v, want it held for a moment while a trial is under way", held)
+		t.Errorf("got %+v, want it held briefly while a trial is running", held)
 	}
 	l.EndTrial(poison, 2100)
 	if _, ok := l.Admit(poison, false, 2101).(quarantine.Trial); !ok {
@@ -118,7 +118,8 @@
 	}
 }
 
-// Two entries claim the trial before they hear of each other: one of them runs it.
+// Checks that only one entry runs the trial if two claim it before they receive each other's
+// claim.
 func TestOneOfTwoClaimsWins(t *testing.T) {
 	for seed := range uint64(20) {
 		a, b := quarantine.NewList(rand.New(rand.NewPCG(seed, 1)).Uint32), quarantine.NewList(rand.New(rand.NewPCG(seed, 2)).Uint32)
@@ -137,28 +138,28 @@
 	}
 }
 
-// learn passes news through their packed form.
-func merge(t *testing.T, l *quarantine.List, n quarantine.Reports, now clock.Millis) {
+// merge merges reports after packing and unpacking them.
+func merge(t *testing.T, l *quarantine.List, reports quarantine.Reports, now clock.Millis) {
 	t.Helper()
-	got, err := quarantine.Unpack(n.Pack())
+	got, err := quarantine.Unpack(reports.Pack())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, it := range got {
-		l.Merge(it, notLost, now)
+	for _, r := range got {
+		l.Merge(r, notLost, now)
 	}
 }
 
-// An entry that cannot hear others holds back what ended one engine: others can take
-// it, and they may know more.
+// Checks that an isolated entry holds back a request after one strike: other entries can accept
+// it, and they may know of more strikes.
 func TestIsolatedEntryHoldsBackAfterOneStrike(t *testing.T) {
 	l := newList()
 	if _, ok := l.Admit(poison, true, 0).(quarantine.Allowed); !ok {
-		t.Errorf("got %T for a request without a strike, want it free", l.Admit(poison, true, 0))
+		t.Errorf("got %T for a request without a strike, want it allowed", l.Admit(poison, true, 0))
 	}
 	recordCrash(l, poison, 1, 1000)
 	if held, ok := l.Admit(poison, true, 1001).(quarantine.Held); !ok || held.RetryAfter > 20 {
-		t.Errorf("got %+v, want it held and the caller sent to another entry at once", held)
+		t.Errorf("got %+v, want it held with a short Retry-After", held)
 	}
 }
 
@@ -168,9 +169,9 @@
 		opened, when clock.Millis
 		want         int
 	}{
-		{"on an old connection", 500, 2500, 0},
-		{"by what it had sent before", 500, 1100, 1},
-		{"on a connection that came up later", 1500, 9000, 1},
+		{"data on an old connection", 500, 2500, 0},
+		{"data sent before the crash", 500, 1100, 1},
+		{"data on a newer connection", 1500, 9000, 1},
 	} {
 		l := newList()
 		recordCrash(l, poison, 1, 1000)
@@ -181,35 +182,36 @@
 	}
 }
 
-// Where the list of engines is late, the next life of an engine goes by the mark of the
-// one before; entries tell of the same end at slightly different times.
+// While the list of engines lags behind, the next incarnation of an engine goes by the hash of
+// the previous one. Checks that its crash is distinguished from the same crash being recorded
+// twice at slightly different times.
 func TestCrashesWithSameIncarnationHash(t *testing.T) {
 	l := newList()
 	recordCrash(l, poison, 1, 1000)
 	recordCrash(l, poison, 1, 1030)
 	if got := l.Strikes(poison); got != 1 {
-		t.Errorf("got %d strikes by one end that two requests saw, want 1", got)
+		t.Errorf("got %d strikes by one crash recorded twice, want 1", got)
 	}
 	recordCrash(l, poison, 1, 2000)
 	if got := l.Strikes(poison); got != 2 {
-		t.Errorf("got %d strikes by two ends with one mark, want 2", got)
+		t.Errorf("got %d strikes by two crashes with the same hash, want 2", got)
 	}
 }
 
-// Where an engine starts again within moments, each of its lives may end under a request
-// before the list tells of the first.
+// Like TestCrashesWithSameIncarnationHash, for an engine that restarts at once and crashes again
+// at another entry, before the list of engines reports the first crash.
 func TestReportedCrashesWithSameIncarnationHash(t *testing.T) {
 	first, second := newList(), quarantine.NewList(rand.New(rand.NewPCG(3, 4)).Uint32)
-	broke := func(l *quarantine.List, at clock.Millis) {
+	crash := func(l *quarantine.List, at clock.Millis) {
 		l.RecordCrash(quarantine.Attempt{Digest: poison, Fingerprint: 1, Incarnation: 1}, at)
 	}
-	broke(first, 1000)
-	broke(second, 1250)
+	crash(first, 1000)
+	crash(second, 1250)
 	merge(t, first, second.TakePending(9, 1250), 1251)
 	merge(t, second, first.TakePending(9, 1251), 1252)
 	for name, l := range map[string]*quarantine.List{"first": first, "second": second} {
 		if got := l.Strikes(poison); got != 2 {
-			t.Errorf("the %s entry: got %d strikes by the ends of two lives with one mark, want 2", name, got)
+			t.Errorf("%s entry: got %d strikes by two crashes with the same hash, want 2", name, got)
 		}
 	}
 }
@@ -220,34 +222,35 @@
 	recordCrash(a, poison, 2, 2000)
 	merge(t, b, a.TakePending(10, 2000), 2005)
 	if got := b.Strikes(poison); got != 2 {
-		t.Fatalf("got %d strikes by word of another, want 2", got)
+		t.Fatalf("got %d strikes reported by a peer, want 2", got)
 	}
 	b.RecordSuccess(poison, 3000)
-	// What a tells again changes nothing, and makes b tell of the run.
+	// Reports that a repeats change nothing, and make b report the success.
 	merge(t, b, a.Sample(10, 3500), 3505)
 	if got := b.Strikes(poison); got != 0 {
-		t.Errorf("got %d strikes after it ran well, want 0", got)
+		t.Errorf("got %d strikes after a success, want 0", got)
 	}
 	merge(t, a, b.TakePending(10, 3510), 3515)
 	if got := a.Strikes(poison); got != 0 {
 		t.Errorf("got %d strikes at the other entry, want 0", got)
 	}
 	if a.Checksum(4000) != b.Checksum(4000) {
-		t.Errorf("got sums %x and %x of entries that know the same, want one", a.Checksum(4000), b.Checksum(4000))
+		t.Errorf("got checksums %x and %x of entries with the same records, want them equal", a.Checksum(4000), b.Checksum(4000))
 	}
 }
 
-// lie is word of a request under which engines failed trials that nobody saw.
+// falseReport returns a report of failed trials that did not take place.
 func falseReport(n uint64) quarantine.Report {
-	it := quarantine.Report{Digest: digestOf(n), Fingerprint: uint32(n)}
+	r := quarantine.Report{Digest: digestOf(n), Fingerprint: uint32(n)}
 	for i := range uint32(6) {
-		it.Crashes = append(it.Crashes, quarantine.ReportedCrash{ID: 1 + rand.Uint32N(1<<30), Incarnation: 1000 + i, Age: clock.Millis(i) * 500, Trial: true})
+		r.Crashes = append(r.Crashes, quarantine.ReportedCrash{ID: 1 + rand.Uint32N(1<<30), Incarnation: 1000 + i, Age: clock.Millis(i) * 500, Trial: true})
 	}
-	return it
+	return r
 }
 
-// A peer that lies holds back at most 256 requests at a time, each for five minutes after
-// it last lied about it; what this entry saw itself stays, whatever the peer tells.
+// Checks that false reports of a peer hold back at most 256 requests at a time, each for five
+// minutes after the last false report on it, and that they do not evict what this entry observed
+// itself.
 func TestFalseReportsHoldBackLittle(t *testing.T) {
 	const minutes = 60_000
 	l := newList()
@@ -265,28 +268,28 @@
 		}
 	}
 	if heldBack > 256 {
-		t.Errorf("got %d requests held back by lies, want at most 256", heldBack)
+		t.Errorf("got %d requests held back by false reports, want at most 256", heldBack)
 	}
 	if got, ok := l.Admit(digestOf(14_999), false, 4001).(quarantine.Held); !ok || got.RetryAfter > 5*minutes {
-		t.Errorf("got %+v by a lie, want it held for at most five minutes", got)
+		t.Errorf("got %+v by a false report, want it held for at most five minutes", got)
 	}
 	if got, ok := l.Admit(digestOf(14_999), false, 4000+5*minutes).(quarantine.Trial); !ok {
-		t.Errorf("got %T five minutes after a lie, want a trial", got)
+		t.Errorf("got %T five minutes after a false report, want a trial", got)
 	}
 	if _, ok := l.Admit(poison, false, 4001).(quarantine.Held); !ok {
-		t.Errorf("got %T for what this entry saw itself, want it held", l.Admit(poison, false, 4001))
+		t.Errorf("got %T for a request that this entry observed itself, want it held", l.Admit(poison, false, 4001))
 	}
-	// Engines that it names and that live are heard, which takes the lies back.
-	for life := range uint32(6) {
-		l.RecordAlive(1000+life, 100, 9000)
+	// Data from the engines named in the false reports refutes these.
+	for i := range uint32(6) {
+		l.RecordAlive(1000+i, 100, 9000)
 	}
 	if got := l.Strikes(digestOf(14_999)); got != 0 {
-		t.Errorf("got %d strikes by engines that were heard since, want 0", got)
+		t.Errorf("got %d strikes by engines that sent data since, want 0", got)
 	}
 }
 
-// A caller who sends another request each time that ends engines fills a bounded list,
-// and pushes out nothing that is held back.
+// Checks that a client who sends a different request that crashes engines each time fills a
+// limited list, and evicts no request that is held back.
 func TestFloodOfRequestsEvictsNoSuspect(t *testing.T) {
 	l := newList()
 	recordCrash(l, poison, 1, 1000)
@@ -300,19 +303,19 @@
 	if _, struck := l.Counts(); struck > 4096 {
 		t.Errorf("got %d requests with a strike, want at most 4096", struck)
 	}
-	told := 0
+	sent := 0
 	for l.HasPending() {
 		n := l.TakePending(quarantine.MaxReports, 60_000)
 		if len(n) > quarantine.MaxReports || len(n.Pack()) > 6000 {
 			t.Fatalf("got a message of %d requests and %d bytes, want at most %d and 6000", len(n), len(n.Pack()), quarantine.MaxReports)
 		}
-		if told == 0 && (len(n) == 0 || n[0].Digest != poison) {
+		if sent == 0 && (len(n) == 0 || n[0].Digest != poison) {
 			t.Errorf("got %+v first, want the suspect", n[0])
 		}
-		told += len(n)
+		sent += len(n)
 	}
-	if told > 256 {
-		t.Errorf("got %d requests waiting to be told, want at most 256", told)
+	if sent > 256 {
+		t.Errorf("got %d pending reports, want at most 256", sent)
 	}
 }
 
@@ -330,7 +333,7 @@
 	}
 	l.Sweep(2000 + quarantine.Retention + 1)
 	if !l.Empty() {
-		t.Error("got something after an hour, want nothing")
+		t.Error("got a list that is not empty after an hour, want it empty")
 	}
 }
 
@@ -341,7 +344,7 @@
 	}}
 	got, err := quarantine.Unpack(good.Pack())
 	if err != nil || len(got) != 1 || !slices.Equal(got[0].Crashes, good[0].Crashes) || *got[0].Success != *good[0].Success || *got[0].Trial != *good[0].Trial || got[0].Digest != poison {
-		t.Errorf("got %+v, %v, want what was packed", got, err)
+		t.Errorf("got %+v, %v, want the packed reports", got, err)
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(good.Pack())
 	if err != nil {
@@ -351,17 +354,17 @@
 		return base64.RawStdEncoding.EncodeToString(change(append([]byte(nil), raw...)))
 	}
 	for name, text := range map[string]string{
-		"no base64":       "%%%",
-		"breaks off":      bad(func(b []byte) []byte { return b[:len(b)-1] }),
-		"too long":        strings.Repeat("A", 10_000),
-		"too many ends":   bad(func(b []byte) []byte { b[16] = 0x0f; return b }),
-		"unknown flag":    bad(func(b []byte) []byte { b[16] |= 0x20; return b }),
-		"an id of zero":   bad(func(b []byte) []byte { copy(b[17:], []byte{0, 0, 0, 0}); return b }),
-		"an age of years": quarantine.Reports{{Digest: poison, Crashes: []quarantine.ReportedCrash{{ID: 1, Incarnation: 1, Age: 1 << 40}}}}.Pack(),
-		"a trial of days": quarantine.Reports{{Digest: poison, Trial: &quarantine.ReportedTrial{ID: 1, Remaining: 1 << 30}}}.Pack(),
+		"no base64":        "%%%",
+		"truncated":        bad(func(b []byte) []byte { return b[:len(b)-1] }),
+		"too long":         strings.Repeat("A", 10_000),
+		"too many crashes": bad(func(b []byte) []byte { b[16] = 0x0f; return b }),
+		"unknown flag":     bad(func(b []byte) []byte { b[16] |= 0x20; return b }),
+		"an id of zero":    bad(func(b []byte) []byte { copy(b[17:], []byte{0, 0, 0, 0}); return b }),
+		"an age of years":  quarantine.Reports{{Digest: poison, Crashes: []quarantine.ReportedCrash{{ID: 1, Incarnation: 1, Age: 1 << 40}}}}.Pack(),
+		"a trial of days":  quarantine.Reports{{Digest: poison, Trial: &quarantine.ReportedTrial{ID: 1, Remaining: 1 << 30}}}.Pack(),
 	} {
 		if n, err := quarantine.Unpack(text); !errors.Is(err, quarantine.ErrInvalidReports) || n != nil {
-			t.Errorf("%s: got %v, %v, want it refused", name, n, err)
+			t.Errorf("%s: got %v, %v, want ErrInvalidReports", name, n, err)
 		}
 	}
 }
@@ -374,14 +377,14 @@
 			return
 		}
 		l := newList()
-		for _, it := range n {
-			l.Merge(it, notLost, 10_000_000)
+		for _, r := range n {
+			l.Merge(r, notLost, 10_000_000)
 		}
 		l.Sample(10, 10_000_000).Pack()
 	})
 }
 
-// Guards against a request that ends two engines again after all entries lost power.
+// Guards against a request that crashes two more engines after all entries lost power.
 func TestOneStrikeMakesSuspectWithUnknownHistory(t *testing.T) {
 	l := newList()
 	l.SetHistoryUnknownUntil(60_000)
@@ -393,7 +396,7 @@
 	l.RecordCrash(quarantine.Attempt{Digest: poison, Incarnation: 2, Trial: true}, 1300)
 	for _, now := range []clock.Millis{1400, 3000, 59_000} {
 		if _, ok := l.Admit(poison, false, now).(quarantine.Held); !ok {
-			t.Errorf("got %T at %d after a trial that failed alone, want it held", l.Admit(poison, false, now), now)
+			t.Errorf("got %T at %d after a trial in which only its engine crashed, want it held", l.Admit(poison, false, now), now)
 		}
 	}
 	if _, ok := l.Admit(poison, false, 60_000).(quarantine.Trial); !ok {
@@ -401,59 +404,60 @@
 	}
 }
 
-// One end proves little where many engines end at once, or once an entry remembers.
+// Checks that one crash proves nothing if many engines crash at once, or once the history is
+// known.
 func TestOneStrikeAmongManyCrashesMakesNoSuspect(t *testing.T) {
 	l := newList()
 	l.SetHistoryUnknownUntil(60_000)
 	recordCrash(l, poison, 1, 1000)
-	for life := range uint32(2) {
-		recordCrash(l, digestOf(2), 2+life, 1050)
+	for i := range uint32(2) {
+		recordCrash(l, digestOf(2), 2+i, 1050)
 	}
 	if a, ok := l.Admit(poison, false, 1100).(quarantine.Allowed); !ok {
-		t.Errorf("got %T after an end among three, want it free", a)
+		t.Errorf("got %T after one of three simultaneous crashes, want it allowed", a)
 	}
 	l = newList()
 	l.SetHistoryUnknownUntil(60_000)
 	recordCrash(l, poison, 1, 1000)
 	l.SetHistoryUnknownUntil(0)
 	if a, ok := l.Admit(poison, false, 1100).(quarantine.Allowed); !ok {
-		t.Errorf("got %T once an entry remembers, want it free", a)
+		t.Errorf("got %T with known history, want it allowed", a)
 	}
 }
 
-// All suspects are told to others who have not heard of them, and on by these.
+// Checks that an entry reports all suspects to entries without them, which pass them on.
 func TestBroadcastSuspectsReachesAllEntries(t *testing.T) {
 	const known = 40
 	ids := uint32(0)
 	next := func() uint32 { ids++; return ids }
-	knows, started, last := quarantine.NewList(next), quarantine.NewList(next), quarantine.NewList(next)
+	informed, restarted, last := quarantine.NewList(next), quarantine.NewList(next), quarantine.NewList(next)
 	for n := range known {
 		a := quarantine.Attempt{Digest: digestOf(uint64(n + 1)), Fingerprint: 1}
 		for k := range quarantine.SuspectStrikes {
 			a.Incarnation = uint32(100*n + k)
-			knows.RecordCrash(a, clock.Millis(1000+1000*k))
+			informed.RecordCrash(a, clock.Millis(1000+1000*k))
 		}
 	}
 	const now = 10_000
-	for knows.HasPending() {
-		knows.TakePending(quarantine.MaxReports, now)
+	for informed.HasPending() {
+		informed.TakePending(quarantine.MaxReports, now)
 	}
-	knows.BroadcastSuspects()
+	informed.BroadcastSuspects()
 	pass := func(from, to *quarantine.List) {
 		for from.HasPending() {
-			for _, it := range from.TakePending(quarantine.MaxReports, now) {
-				to.Merge(it, notLost, now)
+			for _, r := range from.TakePending(quarantine.MaxReports, now) {
+				to.Merge(r, notLost, now)
 			}
 		}
 	}
-	pass(knows, started)
-	pass(started, last)
-	for name, l := range map[string]*quarantine.List{"told": started, "told on": last} {
+	pass(informed, restarted)
+	pass(restarted, last)
+	for name, l := range map[string]*quarantine.List{"received": restarted, "passed on": last} {
 		if got, _ := l.Counts(); got != known {
 			t.Errorf("%s: got %d suspects, want %d", name, got, known)
 		}
-		if got, want := l.Checksum(now), knows.Checksum(now); got != want {
-			t.Errorf("%s: got the sum %x, want %x", name, got, want)
+		if got, want := l.Checksum(now), informed.Checksum(now); got != want {
+			t.Errorf("%s: got the checksum %x, want %x", name, got, want)
 		}
 	}
 }
--- a/engines/quarantine/simulation_test.go
+++ b/engines/quarantine/simulation_test.go
@@ -8,60 +8,62 @@
 	"github.com/weldfall/weldfall/engines/quarantine"
 )
 
-// contact is the time in which all entries must know a request after its third end.
+// spreadTime is the time within which all entries must know a request after its third crash.
 const spreadTime clock.Millis = 3000
 
-// A caller sends a request that ends engines again and again, to any entry, also where
-// some have just started, were cut off for a while or cannot be heard.
+// Checks that a client who repeatedly sends a request that crashes engines, to random entries,
+// crashes few of them, even if some entries start, are disconnected for a while, or cannot be
+// reached.
 func TestRequestCrashesFewEnginesInFleet(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		entries int
-		trouble func(f *fleet)
-		// forgets is true if each entry starts anew, and may end an engine before it has
-		// asked another.
-		forgets bool
+		fault   func(f *fleet)
+		// allRestart is set if all entries restart, and each of them may crash an engine before
+		// it has compared with a peer.
+		allRestart bool
 	}{
-		{name: "alone", entries: 1},
+		{name: "one", entries: 1},
 		{name: "three", entries: 3},
 		{name: "27", entries: 27},
 		{name: "103", entries: 103},
-		{name: "103, one just started", entries: 103, trouble: func(f *fleet) {
+		{name: "103, one restarts", entries: 103, fault: func(f *fleet) {
 			f.after(4000, func() { f.restart(f.entries[0]) })
 		}},
-		{name: "103, all started one after the other", entries: 103, forgets: true, trouble: func(f *fleet) {
+		{name: "103, all restart in turn", entries: 103, allRestart: true, fault: func(f *fleet) {
 			for i, e := range f.entries {
 				f.after(4000+clock.Millis(i)*500, func() { f.restart(e) })
 			}
 		}},
-		{name: "27, one cut off and back", entries: 27, trouble: func(f *fleet) {
+		{name: "27, one disconnected and back", entries: 27, fault: func(f *fleet) {
 			f.entries[0].disconnected, f.entries[0].isolated = true, true
 			f.after(10_000, func() { f.entries[0].disconnected, f.entries[0].isolated = false, false })
 		}},
-		{name: "27, one that the others can't hear", entries: 27, trouble: func(f *fleet) {
+		{name: "27, one disconnected", entries: 27, fault: func(f *fleet) {
 			f.entries[0].disconnected, f.entries[0].isolated = true, true
 		}},
 	} {
 		for seed := range uint64(10) {
 			t.Run(fmt.Sprintf("%s/%d", tc.name, seed), func(t *testing.T) {
 				f := newFleet(seed, tc.entries, 12)
-				if tc.trouble != nil {
-					tc.trouble(f)
+				if tc.fault != nil {
+					tc.fault(f)
 				}
 				f.every(100, 60_000, func() { f.submit(f.randomEntry(), poison, 0, 0) })
 				f.advance(61_000)
 				if got := f.lateArrivals(spreadTime); got > 3 {
-					t.Errorf("got %d arrivals once all must know, want at most 3", got)
+					t.Errorf("got %d arrivals once all entries must know, want at most 3", got)
 				}
-				if got := len(f.crashes); got > 8 && !tc.forgets {
-					t.Errorf("got %d engines that ended, want at most 8", got)
+				if got := len(f.crashes); got > 8 && !tc.allRestart {
+					t.Errorf("got %d crashed engines, want at most 8", got)
 				}
 			})
 		}
 	}
 }
 
-// Callers who send it many times at once, or seldom, end few engines once all must know.
+// Checks that the request crashes few engines once all entries must know it, whether clients send
+// it many times at once or rarely.
 func TestSubmissionPatternMattersLittle(t *testing.T) {
 	for _, tc := range []struct {
 		every clock.Millis
@@ -79,37 +81,37 @@
 				})
 				f.advance(901_000)
 				if got := f.lateArrivals(spreadTime); got > 3 {
-					t.Errorf("got %d arrivals once all must know, want at most 3", got)
+					t.Errorf("got %d arrivals once all entries must know, want at most 3", got)
 				}
 				if got := len(f.crashes); tc.times == 1 && tc.every >= 100 && got > 8 {
-					t.Errorf("got %d engines that ended, want at most 8", got)
+					t.Errorf("got %d crashed engines, want at most 8", got)
 				}
 			})
 		}
 	}
 }
 
-// hot is a request that comes sixty times a second and runs for 0.15 s.
+// frequent is a request that is sent 60 times per second and runs for 0.15 s.
 var frequent = digestOf(2)
 
 func (f *fleet) submitFrequent(until clock.Millis) {
 	f.every(16, until, func() { f.submit(f.randomEntry(), frequent, 150, 0) })
 }
 
-// A request that comes often runs on beside one that ends engines, however often that
-// one does: here it is sent to engines without being asked about.
+// Checks that a frequent request is served while engines crash all the time for another reason.
+// The simulation crashes them directly, without a request that could be held back.
 func TestFrequentRequestIsServedDuringOtherCrashes(t *testing.T) {
 	for _, entries := range []int{3, 27, 103} {
 		for seed := range uint64(4) {
 			f := newFleet(seed, entries, 12)
 			f.submitFrequent(20_000)
 			f.every(150, 20_000, func() {
-				if up := f.available(); len(up) > 1 {
-					f.crash(up[f.rng.IntN(len(up))])
+				if engines := f.available(); len(engines) > 1 {
+					f.crash(engines[f.rng.IntN(len(engines))])
 				}
 			})
 			f.advance(21_000)
-			t.Logf("%d entries, seed %d: %d served, %d refused, %d broken off", entries, seed, f.served[frequent], f.refused[frequent], f.broken[frequent])
+			t.Logf("%d entries, seed %d: %d served, %d refused, %d broken", entries, seed, f.served[frequent], f.refused[frequent], f.broken[frequent])
 			if got, all := f.refused[frequent], f.served[frequent]+f.refused[frequent]+f.broken[frequent]; got > all/50 {
 				t.Errorf("%d entries, seed %d: got %d of %d refused, want at most one in 50", entries, seed, got, all)
 			}
@@ -117,10 +119,10 @@
 	}
 }
 
-// A rack, a herd or a service ends three times in a row. What ran there is served again
-// within a second of running well once.
+// Checks that the requests on a rack, on two thirds of a service or on a whole service that
+// crashes three times in a row are served again within a second of their first success.
 func TestRequestIsServedAgainAfterMassCrashes(t *testing.T) {
-	for name, share := range map[string]int{"a rack": 4, "a herd": 8, "a service": 12} {
+	for name, share := range map[string]int{"rack": 4, "two thirds": 8, "service": 12} {
 		for _, entries := range []int{3, 27, 103} {
 			for seed := range uint64(10) {
 				f := newFleet(seed, entries, 12)
@@ -132,8 +134,9 @@
 						}
 					})
 				}
-				// It ran well once by then: the engines are back, a trial that failed with
-				// the third time is made again, and a second later all know.
+				// By then it has succeeded once: the engines are up, a trial that failed with
+				// the third crash has been repeated, and all entries know the result a second
+				// later.
 				f.advance(4400 + restartTime + 1000 + quarantine.ClaimSettleTime + 150 + 1000)
 				before := f.served[frequent]
 				f.advance(3000)
@@ -145,7 +148,8 @@
 	}
 }
 
-// The same for a long request, beside usual ones that tell which engines ended.
+// Like TestRequestIsServedAgainAfterMassCrashes for a long request, among short ones that show
+// which engines crashed.
 func TestLongRequestSucceedsAfterThreeMassCrashes(t *testing.T) {
 	for _, entries := range []int{3, 27, 103} {
 		for seed := range uint64(10) {
@@ -175,18 +179,18 @@
 	}
 }
 
-// Of the requests that run beside one that ends engines few are struck by chance more
-// than once, though their callers send all of them again at once.
+// Checks that few of the requests that run at the same time as one that crashes engines get more
+// than one strike by coincidence, although clients retry all of them at once.
 func TestCoincidentStrikesAreFew(t *testing.T) {
-	const plays, engines = 100, 12
+	const simulations, engines = 100, 12
 	for _, tc := range []struct {
 		n          int
 		two, three float64
 	}{
 		{8, 0.9, 0.15}, {64, 7, 0.8}, {200, 21, 2.2},
 	} {
-		two, three, shut := 0, 0, 0
-		for seed := range uint64(plays) {
+		two, three, four := 0, 0, 0
+		for seed := range uint64(simulations) {
 			f := newFleet(seed, 5, engines)
 			for i := range tc.n * engines {
 				f.submit(f.randomEntry(), digestOf(uint64(100+i)), 20_000, 10)
@@ -203,15 +207,15 @@
 					three++
 				}
 				if strikes >= 4 {
-					shut++
+					four++
 				}
 			}
 		}
-		t.Logf("%d at once: %.2f with two strikes, %.2f with three, %d of %d plays with one held back for good", tc.n, float64(two)/plays, float64(three)/plays, shut, plays)
-		if got := float64(two) / plays; got > tc.two {
+		t.Logf("%d at once: %.2f with two strikes, %.2f with three, %d with four or more in %d simulations", tc.n, float64(two)/simulations, float64(three)/simulations, four, simulations)
+		if got := float64(two) / simulations; got > tc.two {
 			t.Errorf("%d at once: got %.2f with two strikes, want at most %.2f", tc.n, got, tc.two)
 		}
-		if got := float64(three) / plays; got > tc.three {
+		if got := float64(three) / simulations; got > tc.three {
 			t.Errorf("%d at once: got %.2f with three strikes, want at most %.2f", tc.n, got, tc.three)
 		}
 	}
--- a/engines/quarantine/unresponsive_test.go
+++ b/engines/quarantine/unresponsive_test.go
@@ -9,30 +9,30 @@
 	"github.com/weldfall/weldfall/engines/quarantine"
 )
 
-// dark records that a life of an engine went dark under a request that was sent at a time.
-func recordUnresponsive(l *quarantine.List, d quarantine.Digest, life uint32, sent clock.Millis) {
-	l.RecordUnresponsive(newAttempt(d, life), sent, sent+450)
+// recordUnresponsive records that an engine became unresponsive during an attempt sent at sent.
+func recordUnresponsive(l *quarantine.List, d quarantine.Digest, incarnation uint32, sent clock.Millis) {
+	l.RecordUnresponsive(newAttempt(d, incarnation), sent, sent+450)
 }
 
-// failDark has a suspect go dark with the engine of its trial.
-func failTrialUnresponsive(t *testing.T, l *quarantine.List, d quarantine.Digest, life uint32, now clock.Millis) {
+// failTrialUnresponsive runs a trial of a suspect whose engine becomes unresponsive.
+func failTrialUnresponsive(t *testing.T, l *quarantine.List, d quarantine.Digest, incarnation uint32, now clock.Millis) {
 	t.Helper()
 	if a, ok := l.Admit(d, false, now).(quarantine.Trial); !ok {
 		t.Fatalf("got %T at %d, want a trial", a, now)
 	}
-	l.StartTrial(d, life, now)
-	a := newAttempt(d, life)
+	l.StartTrial(d, incarnation, now)
+	a := newAttempt(d, incarnation)
 	a.Trial = true
 	l.RecordUnresponsive(a, now, now+450)
 }
 
-// A request under which engines go dark is held back as one that ends them, but for some
-// minutes after the last of them: an engine that is dark may live.
+// Checks that a request under which engines become unresponsive is held back like one that
+// crashes them, but only for minutes: an unresponsive engine may still be running.
 func TestUnresponsiveEnginesHoldBackRequestForMinutes(t *testing.T) {
 	l := newList()
 	recordUnresponsive(l, poison, 1, 1000)
 	if a := l.Admit(poison, false, 1500); a != (quarantine.Allowed{}) {
-		t.Errorf("got %#v after one engine went dark, want it free", a)
+		t.Errorf("got %#v after one unresponsive engine, want it allowed", a)
 	}
 	recordUnresponsive(l, poison, 2, 1200)
 	failTrialUnresponsive(t, l, poison, 3, 1700)
@@ -50,17 +50,18 @@
 	}
 }
 
-// Requests that were on dark engines by chance have few strikes, and lose them.
+// Checks that requests that were on unresponsive engines by coincidence get few strikes, and
+// lose them again.
 func TestStrikesOfUnresponsiveEngines(t *testing.T) {
 	for name, tc := range map[string]struct {
-		happened func(l *quarantine.List)
-		want     int
+		setup func(l *quarantine.List)
+		want  int
 	}{
 		"two engines": {func(l *quarantine.List) {
 			recordUnresponsive(l, poison, 1, 1000)
 			recordUnresponsive(l, poison, 2, 2000)
 		}, 2},
-		"one engine, twice": {func(l *quarantine.List) {
+		"one engine twice": {func(l *quarantine.List) {
 			recordUnresponsive(l, poison, 1, 1000)
 			recordUnresponsive(l, poison, 1, 2000)
 		}, 1},
@@ -68,27 +69,27 @@
 			recordUnresponsive(l, poison, 1, 1000)
 			recordUnresponsive(l, poison, 2, 1100)
 		}, 1},
-		"engines heard since, on newer connections": {func(l *quarantine.List) {
+		"data received on newer connections": {func(l *quarantine.List) {
 			recordUnresponsive(l, poison, 1, 1000)
 			recordUnresponsive(l, poison, 2, 2000)
 			l.RecordAlive(1, 4000, 4100)
 			l.RecordAlive(2, 4000, 4100)
 		}, 0},
-		"an engine of which earlier bytes are read": {func(l *quarantine.List) {
+		"earlier data of the engine read late": {func(l *quarantine.List) {
 			recordUnresponsive(l, poison, 1, 1000)
 			l.RecordAlive(1, 500, 1900)
 		}, 1},
-		"a copy that ran well while it waited": {func(l *quarantine.List) {
+		"copy succeeded while the attempt waited": {func(l *quarantine.List) {
 			recordUnresponsive(l, poison, 1, 1000)
 			l.RecordSuccess(poison, 2300)
 			recordUnresponsive(l, poison, 2, 2200)
 		}, 0},
-		"the list tells the end of the engine, which is not heard": {func(l *quarantine.List) {
+		"engine list reports the crash": {func(l *quarantine.List) {
 			recordUnresponsive(l, poison, 1, 1000)
 			l.RecordBrokenAttempt(newAttempt(poison, 1), 1600)
 			l.RecordIncarnationEnd(1, 3000)
 		}, 1},
-		"the list tells the end of the engine": {func(l *quarantine.List) {
+		"engine list reports the crash, and data received later": {func(l *quarantine.List) {
 			recordUnresponsive(l, poison, 1, 1000)
 			l.RecordBrokenAttempt(newAttempt(poison, 1), 1600)
 			l.RecordIncarnationEnd(1, 3000)
@@ -97,7 +98,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newList()
-			tc.happened(l)
+			tc.setup(l)
 			if got := l.Strikes(poison); got != tc.want {
 				t.Errorf("got %d strikes, want %d", got, tc.want)
 			}
@@ -105,30 +106,31 @@
 	}
 }
 
-// Engines that go dark together, as with their rack, prove nothing of a request on trial
-// at one of them.
+// Checks that a trial proves nothing when other engines become unresponsive at the same time,
+// as with a rack failure.
 func TestTrialAmongUnresponsiveEnginesIsNoProof(t *testing.T) {
 	l := newList()
 	recordUnresponsive(l, poison, 1, 1000)
 	recordUnresponsive(l, poison, 2, 1200)
 	for n, sent := range []clock.Millis{2000, 4000} {
-		life := uint32(10 * (n + 1))
-		recordUnresponsive(l, quarantine.Digest{8}, life+1, sent+50)
-		recordUnresponsive(l, quarantine.Digest{9}, life+2, sent+100)
-		failTrialUnresponsive(t, l, poison, life, sent)
+		incarnation := uint32(10 * (n + 1))
+		recordUnresponsive(l, quarantine.Digest{8}, incarnation+1, sent+50)
+		recordUnresponsive(l, quarantine.Digest{9}, incarnation+2, sent+100)
+		failTrialUnresponsive(t, l, poison, incarnation, sent)
 	}
 	if a, ok := l.Admit(poison, false, 6000).(quarantine.Trial); !ok {
-		t.Errorf("got %#v after two trials that failed among dark engines, want another", a)
+		t.Errorf("got %#v after two trials that failed among unresponsive engines, want another", a)
 	}
 }
 
-// An entry that has just started takes an end for a suspect's, and a dark engine for less.
+// With unknown history a single crash makes a suspect. Checks that an unresponsive engine does
+// not.
 func TestUnresponsiveEngineProvesLessWithUnknownHistory(t *testing.T) {
 	l := newList()
 	l.SetHistoryUnknownUntil(60_000)
 	recordUnresponsive(l, poison, 1, 1000)
 	if a := l.Admit(poison, false, 1500); a != (quarantine.Allowed{}) {
-		t.Errorf("got %#v after one engine went dark, want it free", a)
+		t.Errorf("got %#v after one unresponsive engine, want it allowed", a)
 	}
 	recordUnresponsive(l, poison, 2, 1200)
 	failTrialUnresponsive(t, l, poison, 3, 1700)
@@ -145,37 +147,38 @@
 		t.Fatal(err)
 	}
 	last := len(good) - 1
-	for _, dark := range []byte{0, 2, 3, 0x80} {
-		good[last] = dark
+	for _, bits := range []byte{0, 2, 3, 0x80} {
+		good[last] = bits
 		if n, err := quarantine.Unpack(base64.RawStdEncoding.EncodeToString(good)); !errors.Is(err, quarantine.ErrInvalidReports) {
-			t.Errorf("got %v, %v for bits %x of one end, want it refused", n, err, dark)
+			t.Errorf("got %v, %v for bits %x of one crash, want ErrInvalidReports", n, err, bits)
 		}
 	}
 	good[last] = 1
 	if n, err := quarantine.Unpack(base64.RawStdEncoding.EncodeToString(good)); err != nil || len(n) != 1 || !n[0].Crashes[0].Unresponsive {
-		t.Errorf("got %v, %v, want one dark engine", n, err)
+		t.Errorf("got %v, %v, want one unresponsive engine", n, err)
 	}
 }
 
-// Others learn which strikes are of dark engines, and take them back as well.
+// Checks that peers receive which strikes are of unresponsive engines, and remove those when
+// the engines send data.
 func TestReportedUnresponsiveEngineIsRefuted(t *testing.T) {
-	here, there := newList(), newList()
-	recordUnresponsive(here, poison, 1, 1000)
-	recordCrash(here, poison, 2, 2000)
-	news, err := quarantine.Unpack(here.TakePending(1, 2500).Pack())
-	if err != nil || len(news) != 1 {
-		t.Fatalf("got %+v, %v, want one request", news, err)
-	}
-	there.Merge(news[0], func(uint32) bool { return true }, 2500)
-	if got := there.Strikes(poison); got != 2 {
-		t.Fatalf("got %d strikes told, want 2", got)
-	}
-	if got := there.UnresponsiveIncarnations(poison); len(got) != 1 || got[0] != 1 {
-		t.Errorf("got dark lives %v, want 1", got)
-	}
-	there.RecordAlive(1, 3000, 3100)
-	there.RecordAlive(2, 3000, 3100)
-	if got := there.Strikes(poison); got != 1 {
-		t.Errorf("got %d strikes once both engines were heard on new connections, want 1", got)
+	local, peer := newList(), newList()
+	recordUnresponsive(local, poison, 1, 1000)
+	recordCrash(local, poison, 2, 2000)
+	reports, err := quarantine.Unpack(local.TakePending(1, 2500).Pack())
+	if err != nil || len(reports) != 1 {
+		t.Fatalf("got %+v, %v, want one request", reports, err)
+	}
+	peer.Merge(reports[0], func(uint32) bool { return true }, 2500)
+	if got := peer.Strikes(poison); got != 2 {
+		t.Fatalf("got %d strikes reported, want 2", got)
+	}
+	if got := peer.UnresponsiveIncarnations(poison); len(got) != 1 || got[0] != 1 {
+		t.Errorf("got unresponsive incarnations %v, want [1]", got)
+	}
+	peer.RecordAlive(1, 3000, 3100)
+	peer.RecordAlive(2, 3000, 3100)
+	if got := peer.Strikes(poison); got != 1 {
+		t.Errorf("got %d strikes once both engines sent data on new connections, want 1", got)
 	}
 }
