--- a/fleet/once/once_test.go
+++ b/fleet/once/once_test.go
@@ -13,12 +13,12 @@
 
 func TestTwoSetsOfPromisesShareAWitness(t *testing.T) {
 	for n := 1; n <= 12; n++ {
-		need, changes := once.Need(n), once.Tolerated(n)
+		need, changes := once.Quorum(n), once.ToleratedChanges(n)
 		if 2*need <= n+changes {
 			t.Errorf("n %d: got need %d tolerating %d, want sets that meet", n, need, changes)
 		}
 	}
-	if got, want := once.Need(once.Witnesses), 5; got != want {
+	if got, want := once.Quorum(once.Witnesses), 5; got != want {
 		t.Errorf("need: got %d, want %d", got, want)
 	}
 }
@@ -30,7 +30,7 @@
 		"fee-17":                               0,
 		"":                                     0,
 	} {
-		if got := once.Born(key); got != want {
+		if got := once.KeyTime(key); got != want {
 			t.Errorf("%q: got %d, want %d", key, got, want)
 		}
 	}
@@ -39,7 +39,7 @@
 func TestAWitnessRemembersForTheWindowAndNotForever(t *testing.T) {
 	w := once.NewWitness(0, 1_000_000, 100)
 	c := wire.Claim{Key: 1, Attempt: 7, Window: 60_000}
-	if g := w.Claim(c, 100_000, 1_100_000); !g.Granted || g.Young {
+	if g := w.Claim(c, 100_000, 1_100_000); !g.Granted || g.StartedLate {
 		t.Errorf("first: got %+v, want granted by an old witness", g)
 	}
 	other := wire.Claim{Key: 1, Attempt: 8, Window: 60_000}
@@ -62,13 +62,13 @@
 
 func TestAYoungWitnessSaysSo(t *testing.T) {
 	w := once.NewWitness(0, 1_000_000, 100)
-	if g := w.Claim(wire.Claim{Key: 1, Attempt: 1, Window: 60_000}, 30_000, 1_030_000); !g.Young {
+	if g := w.Claim(wire.Claim{Key: 1, Attempt: 1, Window: 60_000}, 30_000, 1_030_000); !g.StartedLate {
 		t.Errorf("untimed key: got %+v, want young", g)
 	}
-	if g := w.Claim(wire.Claim{Key: 2, Attempt: 1, Window: 60_000, Born: 1_020_000}, 30_000, 1_030_000); g.Young {
+	if g := w.Claim(wire.Claim{Key: 2, Attempt: 1, Window: 60_000, CreatedAt: 1_020_000}, 30_000, 1_030_000); g.StartedLate {
 		t.Errorf("key born after the start: got %+v, want not young", g)
 	}
-	if g := w.Claim(wire.Claim{Key: 3, Attempt: 1, Window: 60_000, Born: 900_000}, 30_000, 1_030_000); g.Granted {
+	if g := w.Claim(wire.Claim{Key: 3, Attempt: 1, Window: 60_000, CreatedAt: 900_000}, 30_000, 1_030_000); g.Granted {
 		t.Errorf("key older than the window: got %+v, want no promise", g)
 	}
 }
@@ -182,7 +182,7 @@
 				f.now += rapid.SampledFrom([]clock.Millis{10, 1000, 5000}).Draw(t, "pass")
 			}
 			list := f.list()
-			if old := rapid.IntRange(0, min(once.Changes, len(f.lists)-1)).Draw(t, "stale"); old > 0 {
+			if old := rapid.IntRange(0, min(once.MaxChanges, len(f.lists)-1)).Draw(t, "stale"); old > 0 {
 				list = f.lists[len(f.lists)-1-old]
 			}
 			f.attempt(t, key, attempt, born, list, ran, &late)
@@ -208,7 +208,7 @@
 	daemons := f.view(list)
 	ws, gone := once.Choose(key, daemons)
 	tally := once.NewTally(len(ws), gone)
-	msg := wire.Claim{Key: key, Attempt: attempt, Born: born, Window: window}
+	msg := wire.Claim{Key: key, Attempt: attempt, CreatedAt: born, Window: window}
 	for _, w := range ws {
 		witness := f.witnesses[w.ID]
 		if witness == nil || rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
@@ -216,7 +216,7 @@
 		}
 		g := witness.Claim(msg, f.now, 1_000_000+f.now)
 		if rapid.IntRange(0, 6).Draw(t, "answer lost") != 0 {
-			tally.Add(g)
+			tally.AddGrant(g)
 		}
 	}
 	if _, ok := tally.Outcome().(once.Promised); !ok {
--- a/fleet/once/witness.go
+++ b/fleet/once/witness.go
@@ -15,8 +15,8 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// Skew is the allowance for the difference of wall clocks, in milliseconds.
-const Skew clock.Millis = 5000
+// MaxClockSkew is the allowance for the difference of wall clocks, in milliseconds.
+const MaxClockSkew clock.Millis = 5000
 
 // MaxKeys bounds the keys that one witness remembers, about 100 bytes each;
 // a witness that is full makes no further promises until keys expire.
@@ -59,24 +59,24 @@
 	w.expire(now)
 	young := w.young(c, now)
 	if r, ok := w.records[c.Key]; ok {
-		return wire.Grant{Granted: r.attempt == c.Attempt, Holder: r.attempt, Young: young}
+		return wire.Grant{Granted: r.attempt == c.Attempt, Holder: r.attempt, StartedLate: young}
 	}
-	if c.Window <= 0 || Expired(c.Born, c.Window, wall) || len(w.records) >= w.max {
-		return wire.Grant{Young: young}
+	if c.Window <= 0 || Expired(c.CreatedAt, c.Window, wall) || len(w.records) >= w.max {
+		return wire.Grant{StartedLate: young}
 	}
-	until := now + c.Window + 2*Skew
+	until := now + c.Window + 2*MaxClockSkew
 	w.records[c.Key] = record{c.Attempt, until}
 	w.expiry[c.Window] = append(w.expiry[c.Window], dated{c.Key, until})
-	return wire.Grant{Granted: true, Young: young}
+	return wire.Grant{Granted: true, StartedLate: young}
 }
 
 // young reports whether an earlier promise on the key could have been lost
 // with an earlier process.
 func (w *Witness) young(c wire.Claim, now clock.Millis) bool {
-	if c.Born > 0 {
-		return c.Born < w.startedWall+Skew
+	if c.CreatedAt > 0 {
+		return c.CreatedAt < w.startedWall+MaxClockSkew
 	}
-	return now-w.started < c.Window+2*Skew
+	return now-w.started < c.Window+2*MaxClockSkew
 }
 
 // Release takes back the promise to an attempt that has not run and will not.
@@ -106,5 +106,5 @@
 // Expired reports whether a key born at the wall time born is too old to be
 // told from one whose promises have expired. Untimed keys (zero) never are.
 func Expired(born, window, wall clock.Millis) bool {
-	return born > 0 && wall > born+window-Skew
+	return born > 0 && wall > born+window-MaxClockSkew
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -67,9 +67,9 @@
 	// Evacuation is how long after it was asked for an evacuation may not yet be
 	// in force; zero if the operators give no bound.
 	Evacuation clock.Millis
-	// Leaving is how long after its word a leaving engine may still be sent something
+	// Draining is how long after its word a leaving engine may still be sent something
 	// new; zero if the operators give no bound.
-	Leaving clock.Millis
+	Draining clock.Millis
 	// Change is how long after its publication a change may not yet be in force.
 	Change clock.Millis
 	// Grace is how long a stopping process may go on.
@@ -81,11 +81,11 @@
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow clock.Millis
-	// ColdOverrun and ColdExtra bound what all entries together send to a cold
+	// WarmupOverrun and WarmupExtra bound what all entries together send to a cold
 	// engine in a second: the rate that it bears times the one, and the other.
 	// There is no bound if both are zero.
-	ColdOverrun float64
-	ColdExtra   float64
+	WarmupOverrun float64
+	WarmupExtra   float64
 	// LoadBound is the highest load of an engine as a multiple of the mean.
 	LoadBound float64
 }
@@ -118,7 +118,7 @@
 	leave     leave
 	active    atomic.Int64
 	counts    counts
-	durations *duration.Answers
+	durations *duration.Estimator
 	// speeds has how fast the engines of each service read prompts. It is guarded by mu.
 	speeds map[string]*prefill.Speed
 	// guard knows the requests under which engines ended, and inquiries asks each address
@@ -194,7 +194,7 @@
 		reserved: nameSet(d.Reserved), internal: nameSet(d.Internal),
 		pool: upstream.NewPool(cfg.Clock, upstream.Names{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
 		book: engines.NewBook(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
-		durations: duration.New(), speeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
+		durations: duration.NewEstimator(), speeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
 	}
 	g.leave.estimate = g.estimate
 	metrics.GetOrCreateGauge("weldfall_table_age_seconds", g.tableAge)
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -52,29 +52,29 @@
 
 var _ relay.Exchange = exchange{}
 
-// Stream implements relay.Exchange.
-func (x exchange) Stream() bool { return x.c.route.Kind == table.Stream }
+// WantsStream implements relay.Exchange.
+func (x exchange) WantsStream() bool { return x.c.route.Kind == table.Stream }
 
-// Left implements relay.Exchange.
-func (x exchange) Left() clock.Millis { return x.c.left(x.g.clk.Now()) }
+// TimeLeft implements relay.Exchange.
+func (x exchange) TimeLeft() clock.Millis { return x.c.left(x.g.clk.Now()) }
 
-// LeftForNext implements relay.Exchange.
-func (x exchange) LeftForNext() clock.Millis {
-	left := x.Left()
+// ReadTimeout implements relay.Exchange.
+func (x exchange) ReadTimeout() clock.Millis {
+	left := x.TimeLeft()
 	if r := x.c.route; r.Repeatable() && x.c.ran < r.Attempts {
 		return min(left, max(resumeSilence, clock.Millis(resumePauses*float64(r.PauseGoal))))
 	}
 	return left
 }
 
-// Came implements relay.Exchange.
-func (x exchange) Came() { x.g.heard(x.with, "") }
+// OnRead implements relay.Exchange.
+func (x exchange) OnRead() { x.g.heard(x.with, "") }
 
-// Long implements relay.Exchange.
-func (x exchange) Long() { x.g.durations.Long(x.c.route.Name) }
+// OnUnbuffered implements relay.Exchange.
+func (x exchange) OnUnbuffered() { x.g.durations.RecordPassThrough(x.c.route.Name) }
 
-// Passing implements relay.Exchange.
-func (x exchange) Passing(events int) {
+// OnEvents implements relay.Exchange.
+func (x exchange) OnEvents(events int) {
 	x.c.events = events
 	x.g.learnPace(x.c, x.g.clk.Now())
 }
@@ -87,12 +87,12 @@
 	case n == 0:
 		return
 	case c.runFrom == 0:
-		g.durations.First(c.route.Name, now-c.start)
+		g.durations.RecordFirstEvent(c.route.Name, now-c.start)
 		g.learnReading(c, now)
-	case n-c.runFrom < duration.Run:
+	case n-c.runFrom < duration.RunEvents:
 		return
 	default:
-		g.durations.Pace(c.route.Name, c.expected.Service, duration.Run*(now-c.runAt)/clock.Millis(n-c.runFrom))
+		g.durations.RecordRun(c.route.Name, c.expected.Service, duration.RunEvents*(now-c.runAt)/clock.Millis(n-c.runFrom))
 	}
 	c.runFrom, c.runAt = n, now
 }
@@ -100,13 +100,13 @@
 // learnRest records how long the events took that came after the last run.
 func (g *Gate) learnRest(c *call) {
 	if n := c.events - c.runFrom; c.runFrom > 0 && n > 0 {
-		g.durations.Rest(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runAt)
+		g.durations.RecordTail(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runAt)
 	}
 }
 
 // replyTo returns the answer to a call, which has not begun.
 func (g *Gate) replyTo(c *call) *relay.Reply {
-	return relay.New(relay.Config{W: c.w, R: c.r, Clock: g.clk, Head: func(to, from http.Header) {
+	return relay.New(relay.Config{W: c.w, R: c.r, Clock: g.clk, SetHeaders: func(to, from http.Header) {
 		if from != nil {
 			g.copyHead(to, from)
 		}
