--- a/engines/address.go
+++ b/engines/address.go
@@ -6,7 +6,7 @@
 )
 
 // settle enters an engine at its address.
-func (b *Book) settle(e *Engine) {
+func (b *Registry) settle(e *Engine) {
 	e.rivals = slices.Clone(b.byAddr[e.info.Addr])
 	for _, o := range e.rivals {
 		o.rivals = append(o.rivals, e)
@@ -15,7 +15,7 @@
 }
 
 // leave takes an engine from its address.
-func (b *Book) leave(e *Engine) {
+func (b *Registry) leave(e *Engine) {
 	isIt := func(x *Engine) bool { return x == e }
 	left := slices.DeleteFunc(b.byAddr[e.info.Addr], isIt)
 	b.byAddr[e.info.Addr] = left
@@ -28,10 +28,10 @@
 	e.rivals = nil
 }
 
-// Rivals returns the engines that are listed with the address of another, sorted by
+// AddrConflicts returns the engines that are listed with the address of another, sorted by
 // id. Two are when an engine ended without a word and another got its address, or it
 // started again under another id, until the entry of the first lapses.
-func (b *Book) Rivals(id string) []Incarnation {
+func (b *Registry) AddrConflicts(id string) []Incarnation {
 	e := b.byID[id]
 	if e == nil {
 		return nil
@@ -66,8 +66,8 @@
 // startedAfter reports whether an engine started after another, by what they tell or
 // else by when they were first listed.
 func (e *Engine) startedAfter(o *Engine) bool {
-	if e.info.Born != 0 && o.info.Born != 0 {
-		return e.info.Born > o.info.Born
+	if e.info.StartedAt != 0 && o.info.StartedAt != 0 {
+		return e.info.StartedAt > o.info.StartedAt
 	}
 	return e.metAt > o.metAt
 }
--- a/engines/book.go
+++ b/engines/book.go
@@ -10,8 +10,8 @@
 	"github.com/weldfall/weldfall/route"
 )
 
-// Book holds the engines of all services.
-type Book struct {
+// Registry holds the engines of all services.
+type Registry struct {
 	byID map[string]*Engine
 	// byMark has them by the marks of their lives.
 	byMark    map[uint32]*Engine
@@ -46,13 +46,13 @@
 // minutes outruns it, and word of a start is late by seconds.
 const livesMost = 4096
 
-// NewBook returns a book without engines.
-func NewBook() *Book {
+// NewRegistry returns a book without engines.
+func NewRegistry() *Registry {
 	// NewLRU fails only for sizes that are not positive.
 	ended, _ := simplelru.NewLRU[Incarnation, struct{}](livesMost, nil)
 	met, _ := simplelru.NewLRU[Incarnation, clock.Millis](livesMost, nil)
 	crashed, _ := simplelru.NewLRU[Incarnation, struct{}](livesMost, nil)
-	return &Book{byID: map[string]*Engine{}, byMark: map[uint32]*Engine{}, byService: map[string]*pool{}, byAddr: map[string][]*Engine{}, memory: newMemory(), ended: ended, met: met, crashed: crashed}
+	return &Registry{byID: map[string]*Engine{}, byMark: map[uint32]*Engine{}, byService: map[string]*pool{}, byAddr: map[string][]*Engine{}, memory: newMemory(), ended: ended, met: met, crashed: crashed}
 }
 
 // Change is what a new word about an engine came to.
@@ -61,23 +61,23 @@
 const (
 	Same    Change = "same"
 	Joined  Change = "joined"
-	Left    Change = "leaving"
+	DrainStarted    Change = "leaving"
 	Changed Change = "changed"
 	// Missing engines were lost by the list and may come back; Back ones did.
 	Missing Change = "missing"
-	Back    Change = "back"
-	Gone    Change = "gone"
-	// TurnedCold engines bear few requests for a while.
-	TurnedCold Change = "cold"
+	Returned    Change = "back"
+	Removed    Change = "gone"
+	// WarmupStarted engines bear few requests for a while.
+	WarmupStarted Change = "cold"
 	// Restarted engines began a new life under the id that they had.
 	Restarted Change = "restarted"
 	// Forgotten engines are those of which others told what is not so.
 	Forgotten Change = "forgotten"
-	// Late is word of a life that a later one has followed. It changes nothing.
-	Late Change = "late"
-	// Unreadable engines have an entry that cannot be used; Back ones have a good
+	// Stale is word of a life that a later one has followed. It changes nothing.
+	Stale Change = "late"
+	// Invalid engines have an entry that cannot be used; Back ones have a good
 	// one again.
-	Unreadable Change = "unreadable"
+	Invalid Change = "unreadable"
 )
 
 // Put records an engine as listed. An engine that was leaving stays so for the rest
@@ -86,24 +86,24 @@
 // Which of two lives is the later one follows from the order in which the store took
 // their words, not from the time of their starts: the clock of a machine may be set
 // back. Only a life that was seen to be followed by another is known to have ended.
-func (b *Book) Put(in Info, now clock.Millis) Change {
+func (b *Registry) Put(in Info, now clock.Millis) Change {
 	in.Slots = max(1, in.Slots)
-	coldUntil := now + in.ColdFor
-	in.ColdFor = 0
+	coldUntil := now + in.WarmupLeft
+	in.WarmupLeft = 0
 	e, ok := b.byID[in.ID]
-	if ok && in.Born == 0 {
+	if ok && in.StartedAt == 0 {
 		// An entry that does not tell is about the life that is known.
-		in.Born = e.info.Born
+		in.StartedAt = e.info.StartedAt
 	}
 	if b.ended.Contains(in.Incarnation()) {
-		return Late
+		return Stale
 	}
-	if ok && in.Born != e.info.Born {
+	if ok && in.StartedAt != e.info.StartedAt {
 		b.drop(e)
-		if e.info.Born != 0 {
+		if e.info.StartedAt != 0 {
 			b.ended.Add(e.info.Incarnation(), struct{}{})
 		}
-		if !e.info.Leaving {
+		if !e.info.Draining {
 			b.crashed.Add(e.info.Incarnation(), struct{}{})
 		}
 		b.begin(in, coldUntil, now)
@@ -115,19 +115,19 @@
 	}
 	turnedCold := now >= e.warmth.toldUntil && coldUntil > now
 	e.warmth.toldUntil = coldUntil
-	in.Leaving = in.Leaving || e.info.Leaving
+	in.Draining = in.Draining || e.info.Draining
 	was := e.doubtful || e.unreadable
 	e.doubtful, e.unreadable = false, false
 	if e.info == in && was {
-		return Back
+		return Returned
 	}
 	if e.info == in && turnedCold {
-		return TurnedCold
+		return WarmupStarted
 	}
 	if e.info == in {
 		return Same
 	}
-	left := in.Leaving && !e.info.Leaving
+	left := in.Draining && !e.info.Draining
 	moved := in.Service != e.info.Service || in.Addr != e.info.Addr
 	if moved {
 		b.drop(e)
@@ -137,13 +137,13 @@
 		b.add(e)
 	}
 	if left {
-		return Left
+		return DrainStarted
 	}
 	return Changed
 }
 
 // begin adds an engine of which nothing is believed yet.
-func (b *Book) begin(in Info, coldUntil, now clock.Millis) {
+func (b *Registry) begin(in Info, coldUntil, now clock.Millis) {
 	b.crashed.Remove(in.Incarnation())
 	metAt, ok := b.met.Get(in.Incarnation())
 	if !ok {
@@ -152,9 +152,9 @@
 	b.add(&Engine{info: in, target: route.NewTarget(in.ID, in.Slots), seenAt: now, metAt: metAt, health: health{at: now}, warmth: warmth{toldUntil: coldUntil}})
 }
 
-func (b *Book) add(e *Engine) {
+func (b *Registry) add(e *Engine) {
 	b.byID[e.info.ID] = e
-	b.byMark[e.info.Incarnation().Mark()] = e
+	b.byMark[e.info.Incarnation().Hash()] = e
 	e.recent = &b.recent
 	if e.told {
 		b.recent.place(e)
@@ -171,9 +171,9 @@
 
 func byID(a, b *Engine) int { return cmp.Compare(a.info.ID, b.info.ID) }
 
-func (b *Book) drop(e *Engine) {
+func (b *Registry) drop(e *Engine) {
 	delete(b.byID, e.info.ID)
-	delete(b.byMark, e.info.Incarnation().Mark())
+	delete(b.byMark, e.info.Incarnation().Hash())
 	b.recent.take(e)
 	e.recent = nil
 	p := b.byService[e.info.Service]
@@ -181,10 +181,10 @@
 	b.leave(e)
 }
 
-// Mask records that the entry of an engine cannot be used: it takes nothing new, and
+// MarkInvalid records that the entry of an engine cannot be used: it takes nothing new, and
 // what is believed of it is kept until it has a good entry again or none. It reports
 // whether that is news.
-func (b *Book) Mask(id string) bool {
+func (b *Registry) MarkInvalid(id string) bool {
 	e, ok := b.byID[id]
 	if !ok || e.unreadable {
 		return false
@@ -193,10 +193,10 @@
 	return true
 }
 
-// Doubt records that the list lacks an engine that may come back: it is chosen
+// MarkMissing records that the list lacks an engine that may come back: it is chosen
 // only while most of its pool cannot be trusted. It reports whether that is
 // news.
-func (b *Book) Doubt(id string) bool {
+func (b *Registry) MarkMissing(id string) bool {
 	e, ok := b.byID[id]
 	if !ok || e.doubtful {
 		return false
@@ -207,17 +207,17 @@
 
 // Remove records that an engine is no longer listed, and returns it as it
 // was, or false.
-func (b *Book) Remove(id string) (Info, bool) {
+func (b *Registry) Remove(id string) (Info, bool) {
 	e, ok := b.byID[id]
 	if !ok {
 		return Info{}, false
 	}
 	b.drop(e)
 	b.met.Add(e.info.Incarnation(), e.metAt)
-	if !e.info.Leaving {
+	if !e.info.Draining {
 		b.crashed.Add(e.info.Incarnation(), struct{}{})
 	}
-	if e.info.Leaving && e.info.Born != 0 {
+	if e.info.Draining && e.info.StartedAt != 0 {
 		// It has left: who lists it again speaks of the past.
 		b.ended.Add(e.info.Incarnation(), struct{}{})
 	}
@@ -226,7 +226,7 @@
 
 // Forget drops an engine and all that was believed of its lives, but since when it is known:
 // what was said of it was not so.
-func (b *Book) Forget(id string) {
+func (b *Registry) Forget(id string) {
 	if e, ok := b.byID[id]; ok {
 		b.drop(e)
 		b.met.Add(e.info.Incarnation(), e.metAt)
@@ -241,15 +241,15 @@
 }
 
 // WasListed reports whether a life of an engine was listed and no longer is.
-func (b *Book) WasListed(n Incarnation) bool { return b.Find(n) == nil && b.met.Contains(n) }
+func (b *Registry) WasListed(n Incarnation) bool { return b.Find(n) == nil && b.met.Contains(n) }
 
 // Crashed reports whether a life of an engine ended without a word that it leaves, by what
 // the list says.
-func (b *Book) Crashed(n Incarnation) bool { return b.crashed.Contains(n) }
+func (b *Registry) Crashed(n Incarnation) bool { return b.crashed.Contains(n) }
 
-// Settle records that the list is known whole for the first time: the engines
+// MarkSynced records that the list is known whole for the first time: the engines
 // that are on it were there before, and did not just join.
-func (b *Book) Settle(now clock.Millis) {
+func (b *Registry) MarkSynced(now clock.Millis) {
 	for _, e := range b.byID {
 		e.seenAt = now - youth
 		e.metAt = e.seenAt
@@ -257,19 +257,19 @@
 }
 
 // Get returns an engine by id, or nil.
-func (b *Book) Get(id string) *Engine { return b.byID[id] }
+func (b *Registry) Get(id string) *Engine { return b.byID[id] }
 
 // Find returns an engine if it still lives the given life, or nil.
-func (b *Book) Find(n Incarnation) *Engine {
+func (b *Registry) Find(n Incarnation) *Engine {
 	e := b.byID[n.ID]
-	if e == nil || e.info.Born != n.Born {
+	if e == nil || e.info.StartedAt != n.StartedAt {
 		return nil
 	}
 	return e
 }
 
 // IDs returns the ids of all engines, sorted.
-func (b *Book) IDs() []string {
+func (b *Registry) IDs() []string {
 	ids := make([]string, 0, len(b.byID))
 	for id := range b.byID {
 		ids = append(ids, id)
@@ -278,5 +278,5 @@
 	return ids
 }
 
-// Marked returns the engine of which a life has a mark, or nil.
-func (b *Book) Marked(mark uint32) *Engine { return b.byMark[mark] }
+// ByHash returns the engine of which a life has a mark, or nil.
+func (b *Registry) ByHash(mark uint32) *Engine { return b.byMark[mark] }
--- a/engines/book_test.go
+++ b/engines/book_test.go
@@ -14,8 +14,8 @@
 const service = "llm"
 
 // newBook returns a book of n engines of 8 slots.
-func newBook(n int) *engines.Book {
-	b := engines.NewBook()
+func newBook(n int) *engines.Registry {
+	b := engines.NewRegistry()
 	for i := range n {
 		b.Put(info(i), 0)
 	}
@@ -45,7 +45,7 @@
 }
 
 // choose fails the test if there is no engine.
-func choose(t *testing.T, b *engines.Book, q engines.Query, now clock.Millis) engines.Choice {
+func choose(t *testing.T, b *engines.Registry, q engines.Query, now clock.Millis) engines.Choice {
 	t.Helper()
 	c, ok := b.Choose(q, now)
 	if !ok {
@@ -64,7 +64,7 @@
 		b := settled(4, now)
 		home := choose(t, settled(4, now), query(key), now).Engine.Info().ID
 		b.Put(info(4), now)
-		b.Get(info(4).ID).Heard(now)
+		b.Get(info(4).ID).RecordActivity(now)
 		c := choose(t, b, query(key), now)
 		switch got := c.Engine.Info().ID; got {
 		case home:
@@ -84,10 +84,10 @@
 
 func TestAChoiceTellsWhetherThisEntrySentThePromptThere(t *testing.T) {
 	b := newBook(4)
-	if c := choose(t, b, query(7), 0); c.Kept {
+	if c := choose(t, b, query(7), 0); c.PrefixSent {
 		t.Error("got kept for the first prompt, want not")
 	}
-	if c := choose(t, b, query(7), 0); !c.Kept {
+	if c := choose(t, b, query(7), 0); !c.PrefixSent {
 		t.Error("got not kept for the second prompt, want kept")
 	}
 }
@@ -97,21 +97,21 @@
 	home := choose(t, b, query(7), 0).Engine
 	for _, id := range b.IDs() {
 		if e := b.Get(id); e != home {
-			e.Told(engines.Load{Running: 2}, 10)
+			e.RecordLoad(engines.Load{Running: 2}, 10)
 		}
 	}
 	for range 200 {
-		home.Start(20)
+		home.BeginRequest(20)
 	}
 	got := choose(t, b, query(7), 21)
-	if got.Engine == home || got.How != engines.ByRank {
-		t.Errorf("got the loaded engine by %s, want the next of the ranking", got.How)
+	if got.Engine == home || got.Basis != engines.ByRank {
+		t.Errorf("got the loaded engine by %s, want the next of the ranking", got.Basis)
 	}
 	if got.Source != nil {
 		t.Errorf("got a source that gave no sign, want none")
 	}
-	home.Heard(30)
-	b.Get(got.Engine.Info().ID).Told(engines.Load{Running: 300}, 31)
+	home.RecordActivity(30)
+	b.Get(got.Engine.Info().ID).RecordLoad(engines.Load{Running: 300}, 31)
 	if again := choose(t, b, query(7), 32); again.Source == nil {
 		t.Errorf("got no source for a third engine, want one that keeps the prompt")
 	}
@@ -122,23 +122,23 @@
 	b := newBook(4)
 	first, second := sameHome(t)
 	home := choose(t, b, query(first), now).Engine
-	home.Start(now)
-	home.Finish(engines.Unreachable, now)
+	home.BeginRequest(now)
+	home.EndRequest(engines.Unreachable, now)
 	if got := choose(t, b, query(first), now); got.Engine == home {
 		t.Error("got the engine that could not be reached, want another")
 	}
 	if got := choose(t, b, query(second), now+60_000); got.Engine == home {
 		t.Error("got the engine that was not reached since, want another")
 	}
-	if got := home.Reached(now); got != engines.Trusted {
+	if got := home.MarkReached(now); got != engines.Trusted {
 		t.Errorf("got trust %q for an engine that took a connection, want it trusted", got)
 	}
 	if got := choose(t, b, query(second), now+60_000); got.Engine != home {
 		t.Errorf("got %s after the home was reached, want the home again", got.Engine.Info().ID)
 	}
 	for _, id := range b.IDs() {
-		b.Get(id).Start(now)
-		b.Get(id).Finish(engines.Unreachable, now)
+		b.Get(id).BeginRequest(now)
+		b.Get(id).EndRequest(engines.Unreachable, now)
 	}
 	choose(t, b, query(first), now)
 }
@@ -147,14 +147,14 @@
 	b := newBook(4)
 	first, second := sameHome(t)
 	home := choose(t, b, query(first), 0).Engine
-	home.Start(100)
+	home.BeginRequest(100)
 	if got := choose(t, b, query(first), 500); got.Engine != home {
 		t.Error("got another engine after 400 ms of silence, want the home")
 	}
 	if got := choose(t, b, query(first), 1000); got.Engine == home {
 		t.Error("got the engine that is silent for 900 ms, want another")
 	}
-	home.Heard(1100)
+	home.RecordActivity(1100)
 	if got := choose(t, b, query(second), 1200); got.Engine != home {
 		t.Error("got another engine after a sign of life, want the home")
 	}
@@ -168,7 +168,7 @@
 		q := query(first)
 		q.Silence *= scale
 		home := choose(t, b, q, 0).Engine
-		home.Start(100)
+		home.BeginRequest(100)
 		if got := choose(t, b, q, 100+400*scale); got.Engine != home {
 			t.Errorf("got another engine after %d ms of silence where %d are allowed, want the home", 400*scale, q.Silence)
 		}
@@ -184,11 +184,11 @@
 	for _, id := range b.IDs() {
 		for range 10 {
 			e := b.Get(id)
-			e.Start(100)
+			e.BeginRequest(100)
 			if e == bad {
-				e.Finish(engines.Failed, 100)
+				e.EndRequest(engines.Failed, 100)
 			} else {
-				e.Finish(engines.Good, 100)
+				e.EndRequest(engines.Succeeded, 100)
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				in := info(i)
-				in.Leaving = true
+				in.Draining = true
 				if !gone[id] {
 					b.Put(in, now)
 				}
@@ -224,12 +224,12 @@
 				tried = append(tried, id)
 			case 2:
 				if e := b.Get(id); e != nil {
-					e.Start(now)
+					e.BeginRequest(now)
 				}
 			case 3:
 				if e := b.Get(id); e != nil {
-					outcomes := []engines.Outcome{engines.Good, engines.Failed, engines.Refused, engines.Unreachable, engines.Neutral}
-					e.Finish(rapid.SampledFrom(outcomes).Draw(t, "outcome"), now)
+					outcomes := []engines.Outcome{engines.Succeeded, engines.Failed, engines.Refused, engines.Unreachable, engines.Neutral}
+					e.EndRequest(rapid.SampledFrom(outcomes).Draw(t, "outcome"), now)
 				}
 			case 4:
 				b.Remove(id)
@@ -256,7 +256,7 @@
 
 // A plain request goes to the engine with the least load a slot.
 func TestAPlainRequestGoesToTheLeastLoaded(t *testing.T) {
-	b := engines.NewBook()
+	b := engines.NewRegistry()
 	small := info(0)
 	small.Slots = 4
 	b.Put(small, 0)
@@ -264,7 +264,7 @@
 	got := map[string]int{}
 	for range 12 {
 		c := choose(t, b, engines.Query{Service: service, Silence: 700}, 0)
-		c.Engine.Start(0)
+		c.Engine.BeginRequest(0)
 		got[c.Engine.Info().ID]++
 	}
 	if got["e00"] != 4 {
--- a/engines/choose.go
+++ b/engines/choose.go
@@ -35,12 +35,12 @@
 	// Silence is how long an engine may leave requests without a sign before it
 	// is passed over.
 	Silence clock.Millis
-	// Cold is what holds for engines that are cold.
-	Cold Cold
-	// Alone is true for a request that may end its engine: it goes where the fewest
+	// Warmup is what holds for engines that are cold.
+	Warmup Warmup
+	// Isolated is true for a request that may end its engine: it goes where the fewest
 	// others are, and not to the last engine that can be chosen unless there is no
 	// other in the service at all.
-	Alone bool
+	Isolated bool
 	// Tried are engines that have had the request.
 	Tried []string
 	// Random breaks ties, 0 to 1.
@@ -60,55 +60,55 @@
 	boundSlack = 2.0
 )
 
-// PromptBound returns the multiple of the mean load up to which a chat stays at the
+// AffinityBound returns the multiple of the mean load up to which a chat stays at the
 // engine that remembers it, and what is added to it, where operators set a bound for
 // the load of engines.
-func PromptBound(operators float64) (bound, slack float64) {
+func AffinityBound(operators float64) (bound, slack float64) {
 	if operators <= 1 {
 		return 1 + boundPart, boundSlack
 	}
 	return 1 + (operators-1)*boundPart, boundSlack
 }
 
-// How says by what an engine was chosen.
-type How string
+// Basis says by what an engine was chosen.
+type Basis string
 
 const (
 	// ByHome is one of the prompt's homes, the first engines of the ranking.
-	ByHome How = "home"
+	ByHome Basis = "home"
 	// ByRank is a later engine of the ranking: those before have no room.
-	ByRank How = "rank"
+	ByRank Basis = "rank"
 	// ByLoad is the least loaded engine.
-	ByLoad How = "load"
+	ByLoad Basis = "load"
 )
 
 // Choice is the engine for a request and the inputs that decided.
 type Choice struct {
 	Engine *Engine
-	// How says by what the engine was chosen.
-	How How
-	// Kept is true if this entry sent the engine a prompt of the same beginning
+	// Basis says by what the engine was chosen.
+	Basis Basis
+	// PrefixSent is true if this entry sent the engine a prompt of the same beginning
 	// before.
-	Kept bool
+	PrefixSent bool
 	// Source is an engine that may keep more of the prompt, from which the chosen one
 	// should take it; nil if none is known, or reading it costs less.
 	Source *Engine
-	// Dearer is true if such an engine is known, and to take the prompt from it costs
+	// FetchTooCostly is true if such an engine is known, and to take the prompt from it costs
 	// more than to read it.
-	Dearer bool
+	FetchTooCostly bool
 	// Load and Mean are the estimates at the time.
 	Load float64
 	Mean float64
 }
 
 // Choose returns the engine for a request, or false if there is none.
-func (b *Book) Choose(q Query, now clock.Millis) (Choice, bool) {
+func (b *Registry) Choose(q Query, now clock.Millis) (Choice, bool) {
 	p := b.byService[q.Service]
 	if p == nil {
 		return Choice{}, false
 	}
 	usable := b.usable(p, q, now)
-	if len(usable) == 0 || (q.Alone && len(usable) == 1 && len(p.engines) > 1) {
+	if len(usable) == 0 || (q.Isolated && len(usable) == 1 && len(p.engines) > 1) {
 		return Choice{}, false
 	}
 	loads := b.loads(usable, now)
@@ -122,17 +122,17 @@
 	if len(q.Keys) > 0 {
 		order = newRanking(q.Keys[len(q.Keys)-1], usable)
 	}
-	if order != nil && !q.Alone {
+	if order != nil && !q.Isolated {
 		c.byPrompt(q, order, loads)
 	}
 	if c.Engine == nil {
 		c.byLoad(q, usable, loads)
 	}
 	if order != nil {
-		c.Kept = b.memory.holds(q.Keys[len(q.Keys)-1], c.Engine.info.Incarnation())
+		c.PrefixSent = b.memory.holds(q.Keys[len(q.Keys)-1], c.Engine.info.Incarnation())
 		c.Source = b.source(q, order.over(p.engines), c.Engine, now)
 		if c.Source != nil && !q.Cost.fetches(c.Load, c.Source.info.Hall != c.Engine.info.Hall) {
-			c.Source, c.Dearer = nil, true
+			c.Source, c.FetchTooCostly = nil, true
 		}
 		b.memory.note(q.Keys, c.Engine.info.Incarnation())
 	}
@@ -143,13 +143,13 @@
 // their address to themselves, are not leaving, not in an evacuated data hall, not
 // cold with this entry's share sent, not tried and not under suspicion, unless most
 // of the pool is. What it returns is good until the next choice.
-func (b *Book) usable(p *pool, q Query, now clock.Millis) []*Engine {
+func (b *Registry) usable(p *pool, q Query, now clock.Millis) []*Engine {
 	live := b.scratch.live[:0]
 	for _, e := range p.engines {
-		if q.Alone && now < e.reservedUntil {
+		if q.Isolated && now < e.reservedUntil {
 			continue
 		}
-		if e.TakesNew() && !b.isEvacuated(e) && !e.full(q.Cold, now) {
+		if e.AcceptsRequests() && !b.isEvacuated(e) && !e.full(q.Warmup, now) {
 			live = append(live, e)
 		}
 	}
@@ -182,9 +182,9 @@
 	loads      []float64
 }
 
-// TakesNew reports whether an engine may be sent anything new by what the list says
+// AcceptsRequests reports whether an engine may be sent anything new by what the list says
 // of it and of its address.
-func (e *Engine) TakesNew() bool { return !e.info.Leaving && !e.unreadable && !e.ousted() }
+func (e *Engine) AcceptsRequests() bool { return !e.info.Draining && !e.unreadable && !e.ousted() }
 
 // suspect reports whether new requests had better go elsewhere.
 func (e *Engine) suspect(rate float64, silence, now clock.Millis) bool {
@@ -210,7 +210,7 @@
 
 // loads estimates the requests at each of some engines. What it returns is good until
 // the next choice.
-func (b *Book) loads(in []*Engine, now clock.Millis) []float64 {
+func (b *Registry) loads(in []*Engine, now clock.Millis) []float64 {
 	out := slices.Grow(b.scratch.loads[:0], len(in))[:len(in)]
 	b.scratch.loads = out
 	// The mean of what engines have of other entries' requests is by those whose word
@@ -255,7 +255,7 @@
 			at, how = first[i], ByHome
 		}
 		if loads[at]+1 <= bound {
-			c.Engine, c.Load, c.How = order.in[at], loads[at], how
+			c.Engine, c.Load, c.Basis = order.in[at], loads[at], how
 			return
 		}
 	}
@@ -335,5 +335,5 @@
 			best, bestScore = i, s
 		}
 	}
-	c.Engine, c.How, c.Load = usable[best], ByLoad, loads[best]
+	c.Engine, c.Basis, c.Load = usable[best], ByLoad, loads[best]
 }
--- a/engines/cold.go
+++ b/engines/cold.go
@@ -6,14 +6,14 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Cold is what the operators say of engines that are cold: slow for a while
+// Warmup is what the operators say of engines that are cold: slow for a while
 // after they start or come back, and over at more than a few requests a second.
-type Cold struct {
-	// For is how long an engine of the service stays cold; zero if none does.
-	For clock.Millis
-	// Most returns how many requests this entry may send to a cold engine in
+type Warmup struct {
+	// Duration is how long an engine of the service stays cold; zero if none does.
+	Duration clock.Millis
+	// MaxRequests returns how many requests this entry may send to a cold engine in
 	// coldWindow.
-	Most func(engine string) int
+	MaxRequests func(engine string) int
 }
 
 const (
@@ -37,21 +37,21 @@
 // cold reports whether an engine is cold or may be: one that joined, was taken
 // back from an evacuation or was reached again is taken to be until it must have
 // warmed up.
-func (e *Engine) cold(c Cold, now clock.Millis) bool {
-	if c.For <= 0 {
+func (e *Engine) cold(c Warmup, now clock.Millis) bool {
+	if c.Duration <= 0 {
 		return false
 	}
 	since := max(e.seenAt, e.backAt, e.warmth.reachedAt)
-	return now < e.warmth.toldUntil || (since > 0 && now-since < c.For)
+	return now < e.warmth.toldUntil || (since > 0 && now-since < c.Duration)
 }
 
 // full reports whether this entry has sent a cold engine its share.
-func (e *Engine) full(c Cold, now clock.Millis) bool {
+func (e *Engine) full(c Warmup, now clock.Millis) bool {
 	if !e.cold(c, now) {
 		return false
 	}
 	e.warmth.trim(now)
-	return len(e.warmth.sent) >= c.Most(e.info.ID)
+	return len(e.warmth.sent) >= c.MaxRequests(e.info.ID)
 }
 
 func (w *warmth) trim(now clock.Millis) {
--- a/engines/cold_test.go
+++ b/engines/cold_test.go
@@ -9,11 +9,11 @@
 
 // sentTo sends a request each 20 ms for so long and returns when the engine got
 // one. Requests take no time, so that load changes nothing.
-func sentTo(t *testing.T, b *engines.Book, id string, from, to clock.Millis, most int) (at []clock.Millis) {
+func sentTo(t *testing.T, b *engines.Registry, id string, from, to clock.Millis, most int) (at []clock.Millis) {
 	t.Helper()
 	for now := from; now < to; now += 20 {
 		q := query(uint64(now%200) + 1)
-		q.Cold = engines.Cold{For: 3000, Most: func(string) int { return most }}
+		q.Warmup = engines.Warmup{Duration: 3000, MaxRequests: func(string) int { return most }}
 		e := choose(t, b, q, now).Engine
 		answer(e, now)
 		if e.Info().ID == id {
@@ -44,25 +44,25 @@
 	engine := info(0)
 	engine.Hall = "b"
 	cold := engine
-	cold.ColdFor = 3000
-	for name, turn := range map[string]func(b *engines.Book){
-		"it joins":      func(b *engines.Book) { b.Remove(engine.ID); b.Put(engine, now) },
-		"the list says": func(b *engines.Book) { b.Put(cold, now) },
-		"its hall is back": func(b *engines.Book) {
-			b.Evacuate([]string{engine.Hall}, now-5000)
-			b.Evacuate(nil, now)
+	cold.WarmupLeft = 3000
+	for name, turn := range map[string]func(b *engines.Registry){
+		"it joins":      func(b *engines.Registry) { b.Remove(engine.ID); b.Put(engine, now) },
+		"the list says": func(b *engines.Registry) { b.Put(cold, now) },
+		"its hall is back": func(b *engines.Registry) {
+			b.SetEvacuatedHalls([]string{engine.Hall}, now-5000)
+			b.SetEvacuatedHalls(nil, now)
 		},
-		"it is reached again": func(b *engines.Book) {
+		"it is reached again": func(b *engines.Registry) {
 			e := b.Get(engine.ID)
-			e.Start(now - 100)
-			e.Finish(engines.Unreachable, now-50)
-			e.Reached(now)
+			e.BeginRequest(now - 100)
+			e.EndRequest(engines.Unreachable, now-50)
+			e.MarkReached(now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBook(3)
 			b.Put(engine, 0)
-			b.Settle(now - 20_000)
+			b.MarkSynced(now - 20_000)
 			turn(b)
 			at := sentTo(t, b, engine.ID, now, now+2990, share)
 			if got := mostIn(at); got != share {
@@ -79,7 +79,7 @@
 func TestWithoutAWarmupNothingIsHeldBack(t *testing.T) {
 	b := newBook(1)
 	cold := info(0)
-	cold.ColdFor = 3000
+	cold.WarmupLeft = 3000
 	b.Put(cold, 100_000)
 	for range 20 {
 		if _, ok := b.Choose(query(1), 100_000); !ok {
@@ -92,7 +92,7 @@
 func TestAnEntryWithoutAShareSendsAColdEngineNothing(t *testing.T) {
 	b := newBook(2)
 	cold := info(0)
-	cold.ColdFor = 3000
+	cold.WarmupLeft = 3000
 	b.Put(cold, 100_000)
 	if got := sentTo(t, b, cold.ID, 100_000, 102_900, 0); len(got) != 0 {
 		t.Errorf("got %d requests, want 0", len(got))
--- a/engines/cost_test.go
+++ b/engines/cost_test.go
@@ -22,22 +22,22 @@
 }
 
 // toldBook returns a book of n engines that all told a load lately, and answered.
-func toldBook(n int, now clock.Millis) *engines.Book {
-	b := engines.NewBook()
+func toldBook(n int, now clock.Millis) *engines.Registry {
+	b := engines.NewRegistry()
 	for i := range n {
 		in := listed(i)
 		b.Put(in, 0)
 		e := b.Get(in.ID)
-		e.Heard(now - 50)
-		e.Told(engines.Load{Running: 10 + i%5}, now-clock.Millis(i%900))
-		e.Finish(engines.Good, now-clock.Millis(i%900))
+		e.RecordActivity(now - 50)
+		e.RecordLoad(engines.Load{Running: 10 + i%5}, now-clock.Millis(i%900))
+		e.EndRequest(engines.Succeeded, now-clock.Millis(i%900))
 	}
-	b.Settle(now)
+	b.MarkSynced(now)
 	return b
 }
 
 // bySize runs a benchmark on books of each size.
-func bySize(b *testing.B, f func(b *testing.B, book *engines.Book, now clock.Millis)) {
+func bySize(b *testing.B, f func(b *testing.B, book *engines.Registry, now clock.Millis)) {
 	const now = 100_000
 	for _, n := range costSizes {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
@@ -51,7 +51,7 @@
 // BenchmarkChoose is the choice for a chat that has come before, and one by load.
 func BenchmarkChoose(b *testing.B) {
 	b.Run("chat", func(b *testing.B) {
-		bySize(b, func(b *testing.B, book *engines.Book, now clock.Millis) {
+		bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
 			key := uint64(0)
 			for b.Loop() {
 				key++
@@ -64,7 +64,7 @@
 		})
 	})
 	b.Run("load", func(b *testing.B) {
-		bySize(b, func(b *testing.B, book *engines.Book, now clock.Millis) {
+		bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
 			for b.Loop() {
 				now++
 				if _, ok := book.Choose(query(), now); !ok {
@@ -77,16 +77,16 @@
 
 // BenchmarkLoads is the choice of the loads that one message to a peer tells.
 func BenchmarkLoads(b *testing.B) {
-	bySize(b, func(b *testing.B, book *engines.Book, now clock.Millis) {
+	bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
 		for b.Loop() {
-			book.Loads(2000, 10, now)
+			book.RecentLoads(2000, 10, now)
 		}
 	})
 }
 
 // BenchmarkPutAgain is an engine that the list names again, unchanged.
 func BenchmarkPutAgain(b *testing.B) {
-	bySize(b, func(b *testing.B, book *engines.Book, now clock.Millis) {
+	bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
 		in := listed(3)
 		for b.Loop() {
 			book.Put(in, now)
@@ -103,7 +103,7 @@
 				all[i] = listed(i)
 			}
 			for b.Loop() {
-				book := engines.NewBook()
+				book := engines.NewRegistry()
 				for _, in := range all {
 					book.Put(in, 0)
 				}
@@ -117,14 +117,14 @@
 // memory, and fails if they grow out of proportion.
 func TestCostsOfAnEngine(t *testing.T) {
 	for _, n := range costSizes[3:] {
-		got := heaptest.BytesEach(n, func() *engines.Book { return toldBook(n, 1000) })
+		got := heaptest.BytesEach(n, func() *engines.Registry { return toldBook(n, 1000) })
 		t.Logf("%d engines: %.0f bytes each", n, got)
 		if got > 2048 {
 			t.Errorf("got %.0f bytes an engine of %d, want at most 2,048", got, n)
 		}
 	}
 	const chats = 8192
-	got := heaptest.BytesEach(chats, func() *engines.Book {
+	got := heaptest.BytesEach(chats, func() *engines.Registry {
 		b := toldBook(50, 1000)
 		for key := range uint64(chats) {
 			b.Choose(query(key+1), 1000)
--- a/engines/engine.go
+++ b/engines/engine.go
@@ -22,32 +22,32 @@
 	Hall string
 	// Slots is how many requests run at once, at least 1.
 	Slots int
-	// Leaving engines finish what they have and take nothing new.
-	Leaving bool
-	// Born is when the engine started by the clock of its machine, in Unix
+	// Draining engines finish what they have and take nothing new.
+	Draining bool
+	// StartedAt is when the engine started by the clock of its machine, in Unix
 	// milliseconds; zero if the list does not tell.
-	Born int64
-	// ColdFor is how much longer the engine was cold when the list said so. It is
+	StartedAt int64
+	// WarmupLeft is how much longer the engine was cold when the list said so. It is
 	// word of a moment: a Book does not keep it here.
-	ColdFor clock.Millis
+	WarmupLeft clock.Millis
 }
 
 // Incarnation is one life of an engine. An engine may start again under the id
 // that it had, and then knows and holds nothing of before.
 type Incarnation struct {
 	ID   string
-	Born int64
+	StartedAt int64
 }
 
 // Incarnation returns the life of the engine that is listed.
-func (in Info) Incarnation() Incarnation { return Incarnation{ID: in.ID, Born: in.Born} }
+func (in Info) Incarnation() Incarnation { return Incarnation{ID: in.ID, StartedAt: in.StartedAt} }
 
-// Mark tells the lives of engines apart in messages, where four bytes must do: among
+// Hash tells the lives of engines apart in messages, where four bytes must do: among
 // 10,000 engines there is a pair that shares one in 1 of 86 fleets. The start is hashed
 // with the id, not as a seed: a seed is only combined with a short id by XOR.
-func (n Incarnation) Mark() uint32 {
+func (n Incarnation) Hash() uint32 {
 	var buf [64]byte
-	return uint32(xxh3.Hash(binary.LittleEndian.AppendUint64(append(buf[:0], n.ID...), uint64(n.Born))))
+	return uint32(xxh3.Hash(binary.LittleEndian.AppendUint64(append(buf[:0], n.ID...), uint64(n.StartedAt))))
 }
 
 // Load is what an engine said of itself in an answer.
@@ -136,8 +136,8 @@
 	return now - e.waitingSince
 }
 
-// Start counts a request that is about to be sent.
-func (e *Engine) Start(now clock.Millis) {
+// BeginRequest counts a request that is about to be sent.
+func (e *Engine) BeginRequest(now clock.Millis) {
 	e.inflight++
 	e.warmth.note(now)
 	if e.waitingSince == 0 {
@@ -145,16 +145,16 @@
 	}
 }
 
-// Heard records that the engine sent something.
-func (e *Engine) Heard(now clock.Millis) {
+// RecordActivity records that the engine sent something.
+func (e *Engine) RecordActivity(now clock.Millis) {
 	e.heardAt = now
 	e.provedAt = now
 	e.waitingSince = now
 }
 
-// Told records the load that an engine had at the given time, which counts
+// RecordLoad records the load that an engine had at the given time, which counts
 // our own requests too. An older word than the latest is passed over.
-func (e *Engine) Told(l Load, at clock.Millis) {
+func (e *Engine) RecordLoad(l Load, at clock.Millis) {
 	if e.told && at <= e.othersAt {
 		return
 	}
@@ -167,32 +167,32 @@
 	}
 }
 
-// Finish counts the end of a request and returns what it changes in the trust
+// EndRequest counts the end of a request and returns what it changes in the trust
 // in the engine.
-func (e *Engine) Finish(o Outcome, now clock.Millis) Trust {
+func (e *Engine) EndRequest(o Outcome, now clock.Millis) TrustChange {
 	e.inflight = max(0, e.inflight-1)
 	if e.inflight == 0 {
 		e.waitingSince = 0
 	}
-	if o == Departed {
+	if o == Replaced {
 		e.deniedAt = now
 	}
 	return e.health.note(o, now)
 }
 
-// Reached records that the engine took a connection again, and returns what
+// MarkReached records that the engine took a connection again, and returns what
 // that changes in the trust in it.
-func (e *Engine) Reached(now clock.Millis) Trust {
+func (e *Engine) MarkReached(now clock.Millis) TrustChange {
 	e.warmth.reachedAt = now
 	return e.health.reached()
 }
 
-// Lost records that the engine ended, and returns what that changes in the trust in it.
-func (e *Engine) Lost(now clock.Millis) Trust { return e.health.note(Unreachable, now) }
+// MarkLost records that the engine ended, and returns what that changes in the trust in it.
+func (e *Engine) MarkLost(now clock.Millis) TrustChange { return e.health.note(Unreachable, now) }
 
-// QuietSince reports whether the engine gave no sign since a time, to this entry or as
+// SilentSince reports whether the engine gave no sign since a time, to this entry or as
 // others told, though as far as is known it has a slot free.
-func (e *Engine) QuietSince(at, now clock.Millis) bool {
+func (e *Engine) SilentSince(at, now clock.Millis) bool {
 	if e.heardAt >= at || (e.told && e.othersAt >= at) {
 		return false
 	}
@@ -202,9 +202,9 @@
 // askPeriod bounds how often an engine is asked whether it is healthy.
 const askPeriod clock.Millis = 1000
 
-// MayAsk reports whether the engine may be asked whether it is healthy, and takes it that
+// AllowHealthCheck reports whether the engine may be asked whether it is healthy, and takes it that
 // it is.
-func (e *Engine) MayAsk(now clock.Millis) bool {
+func (e *Engine) AllowHealthCheck(now clock.Millis) bool {
 	if e.askedAt != 0 && now-e.askedAt < askPeriod {
 		return false
 	}
--- a/engines/evacuate.go
+++ b/engines/evacuate.go
@@ -2,10 +2,10 @@
 
 import "github.com/weldfall/weldfall/common/clock"
 
-// Evacuate records the data halls whose engines take nothing new: those that are
+// SetEvacuatedHalls records the data halls whose engines take nothing new: those that are
 // named and no others. Requests that run there go on, and what such an engine
 // keeps can be fetched.
-func (b *Book) Evacuate(halls []string, now clock.Millis) {
+func (b *Registry) SetEvacuatedHalls(halls []string, now clock.Millis) {
 	before := b.evacuated
 	b.evacuated = map[string]clock.Millis{}
 	for _, h := range halls {
@@ -23,7 +23,7 @@
 }
 
 // isEvacuated reports whether an engine takes nothing new for its data hall.
-func (b *Book) isEvacuated(e *Engine) bool {
+func (b *Registry) isEvacuated(e *Engine) bool {
 	if len(b.evacuated) == 0 {
 		return false
 	}
@@ -31,9 +31,9 @@
 	return ok
 }
 
-// Evacuated returns how many listed engines of a service are in data halls
+// CountEvacuated returns how many listed engines of a service are in data halls
 // under evacuation, and how many are listed.
-func (b *Book) Evacuated(service string) (n, all int) {
+func (b *Registry) CountEvacuated(service string) (n, all int) {
 	p := b.byService[service]
 	if p == nil {
 		return 0, 0
@@ -46,8 +46,8 @@
 	return n, len(p.engines)
 }
 
-// InHall returns how many engines are listed in a data hall.
-func (b *Book) InHall(hall string) int {
+// CountInHall returns how many engines are listed in a data hall.
+func (b *Registry) CountInHall(hall string) int {
 	n := 0
 	for _, e := range b.byID {
 		if e.info.Hall == hall {
--- a/engines/evacuate_test.go
+++ b/engines/evacuate_test.go
@@ -9,8 +9,8 @@
 
 // twoHalls returns a book of six engines, every other one in hall b, that have
 // been there for long and gave a sign just now.
-func twoHalls(now clock.Millis) *engines.Book {
-	b := engines.NewBook()
+func twoHalls(now clock.Millis) *engines.Registry {
+	b := engines.NewRegistry()
 	for i := range 6 {
 		in := info(i)
 		if i%2 == 1 {
@@ -18,7 +18,7 @@
 		}
 		b.Put(in, 0)
 	}
-	b.Settle(now)
+	b.MarkSynced(now)
 	for _, id := range b.IDs() {
 		answer(b.Get(id), now)
 	}
@@ -27,9 +27,9 @@
 
 // answer records a whole answer of an engine that has nothing else to do.
 func answer(e *engines.Engine, now clock.Millis) {
-	e.Start(now)
-	e.Heard(now)
-	e.Finish(engines.Good, now)
+	e.BeginRequest(now)
+	e.RecordActivity(now)
+	e.EndRequest(engines.Succeeded, now)
 }
 
 func TestEnginesOfAnEvacuatedHallAreNotChosen(t *testing.T) {
@@ -44,7 +44,7 @@
 		{[]string{"a"}, false, true},
 		{nil, true, true},
 	} {
-		b.Evacuate(tc.halls, now)
+		b.SetEvacuatedHalls(tc.halls, now)
 		got := map[string]bool{}
 		for key := uint64(1); key <= 50; key++ {
 			if c, ok := b.Choose(query(key), now); ok {
@@ -77,7 +77,7 @@
 			if sent {
 				choose(t, b, query(chat), now)
 			}
-			b.Evacuate([]string{home.Hall}, now)
+			b.SetEvacuatedHalls([]string{home.Hall}, now)
 			// The others are heard all the time.
 			for _, id := range b.IDs() {
 				if e := b.Get(id); e.Info().Hall != home.Hall {
@@ -98,9 +98,9 @@
 	const now, chat = 100_000, 42
 	b := twoHalls(now)
 	home := choose(t, b, query(chat), now).Engine.Info()
-	b.Evacuate([]string{home.Hall}, now)
+	b.SetEvacuatedHalls([]string{home.Hall}, now)
 	meanwhile := choose(t, b, query(chat), now).Engine.Info()
-	b.Evacuate(nil, now)
+	b.SetEvacuatedHalls(nil, now)
 	c := choose(t, b, query(chat), now)
 	if got := sourceID(c); c.Engine.Info() != home || got != meanwhile.ID {
 		t.Errorf("got source %q for %s, want %q for the home %s", got, c.Engine.Info().ID, meanwhile.ID, home.ID)
@@ -110,8 +110,8 @@
 	}
 	// Another entry that never sent the chat guesses.
 	other := twoHalls(now)
-	other.Evacuate([]string{home.Hall}, now)
-	other.Evacuate(nil, now)
+	other.SetEvacuatedHalls([]string{home.Hall}, now)
+	other.SetEvacuatedHalls(nil, now)
 	if got := sourceID(choose(t, other, query(chat), now)); got != meanwhile.ID {
 		t.Errorf("got source %q by the ranking, want %q", got, meanwhile.ID)
 	}
--- a/engines/export_test.go
+++ b/engines/export_test.go
@@ -11,13 +11,13 @@
 
 // ChooseSorted is Choose as it is written down: it sorts all engines, works out each load
 // where it is needed, and remembers nothing.
-func (b *Book) ChooseSorted(q Query, now clock.Millis) (Choice, bool) {
+func (b *Registry) ChooseSorted(q Query, now clock.Millis) (Choice, bool) {
 	p := b.byService[q.Service]
 	if p == nil {
 		return Choice{}, false
 	}
 	usable := slices.Clone(b.usable(p, q, now))
-	if len(usable) == 0 || (q.Alone && len(usable) == 1 && len(p.engines) > 1) {
+	if len(usable) == 0 || (q.Isolated && len(usable) == 1 && len(p.engines) > 1) {
 		return Choice{}, false
 	}
 	sum, n := 0.0, 0
@@ -42,7 +42,7 @@
 		c.Mean += load(e)
 	}
 	c.Mean /= float64(len(usable))
-	if len(q.Keys) > 0 && !q.Alone {
+	if len(q.Keys) > 0 && !q.Isolated {
 		order := sortedFor(q.Keys[len(q.Keys)-1], usable)
 		homes := min(homes(q.Tokens), len(order))
 		if load(order[0]) > calmBound*c.Mean+calmSlack {
@@ -50,9 +50,9 @@
 		}
 		for i, e := range order {
 			if c.Engine == nil && load(e)+1 <= q.Bound*c.Mean+q.Slack {
-				c.Engine, c.Load, c.How = e, load(e), ByHome
+				c.Engine, c.Load, c.Basis = e, load(e), ByHome
 				if i >= homes {
-					c.How = ByRank
+					c.Basis = ByRank
 				}
 			}
 		}
@@ -63,16 +63,16 @@
 		c.Engine = slices.MinFunc(turned, func(a, b *Engine) int {
 			return cmp.Compare(load(a)/float64(a.info.Slots), load(b)/float64(b.info.Slots))
 		})
-		c.Load, c.How = load(c.Engine), ByLoad
+		c.Load, c.Basis = load(c.Engine), ByLoad
 	}
 	if len(q.Keys) > 0 {
-		c.Kept = b.memory.holds(q.Keys[len(q.Keys)-1], c.Engine.info.Incarnation())
+		c.PrefixSent = b.memory.holds(q.Keys[len(q.Keys)-1], c.Engine.info.Incarnation())
 		c.Source = b.sourceSorted(q, p, c.Engine, now)
 	}
 	return c, true
 }
 
-func (b *Book) sourceSorted(q Query, p *pool, chosen *Engine, now clock.Millis) *Engine {
+func (b *Registry) sourceSorted(q Query, p *pool, chosen *Engine, now clock.Millis) *Engine {
 	for i := len(q.Keys) - 1; i >= 0; i-- {
 		if b.keeps(chosen, q.Keys[i], now) {
 			return nil
--- a/engines/fetch.go
+++ b/engines/fetch.go
@@ -3,9 +3,9 @@
 // Cost is what the prompts of a service cost its engines, in milliseconds a token; what is
 // not known is zero.
 type Cost struct {
-	// Read is the time to read a token, and Move that to take it from another engine of
+	// Prefill is the time to read a token, and Transfer that to take it from another engine of
 	// the same data hall.
-	Read, Move float64
+	Prefill, Transfer float64
 }
 
 // farMoves is how many times as long a move takes between data halls.
@@ -16,12 +16,12 @@
 // while it takes. load is how many requests the engine has. Without word of the cost, it
 // takes.
 func (c Cost) fetches(load float64, far bool) bool {
-	if c.Read <= 0 || c.Move <= 0 {
+	if c.Prefill <= 0 || c.Transfer <= 0 {
 		return true
 	}
-	move := c.Move
+	move := c.Transfer
 	if far {
 		move *= farMoves
 	}
-	return move <= c.Read*(1+load)
+	return move <= c.Prefill*(1+load)
 }
--- a/engines/fetch_test.go
+++ b/engines/fetch_test.go
@@ -24,22 +24,22 @@
 		want   bool
 	}{
 		{"nothing is known", engines.Cost{}, 0, false, true},
-		{"the speed of reading is not known", engines.Cost{Move: 100}, 0, false, true},
-		{"the time of a move is not known", engines.Cost{Read: 0.001}, 0, false, true},
-		{"moves are faster", engines.Cost{Read: 0.024, Move: 0.007}, 0, false, true},
-		{"reading is faster", engines.Cost{Read: 0.01, Move: 0.1}, 0, false, false},
-		{"reading is faster, little beside it", engines.Cost{Read: 0.01, Move: 0.035}, 2, false, false},
-		{"reading is faster, and holds up much", engines.Cost{Read: 0.01, Move: 0.035}, 3, false, true},
-		{"the other engine is in another data hall", engines.Cost{Read: 0.01, Move: 0.035}, 3, true, false},
-		{"... and reading holds up more", engines.Cost{Read: 0.01, Move: 0.035}, 6, true, true},
-		{"as fast", engines.Cost{Read: 0.01, Move: 0.01}, 0, false, true},
+		{"the speed of reading is not known", engines.Cost{Transfer: 100}, 0, false, true},
+		{"the time of a move is not known", engines.Cost{Prefill: 0.001}, 0, false, true},
+		{"moves are faster", engines.Cost{Prefill: 0.024, Transfer: 0.007}, 0, false, true},
+		{"reading is faster", engines.Cost{Prefill: 0.01, Transfer: 0.1}, 0, false, false},
+		{"reading is faster, little beside it", engines.Cost{Prefill: 0.01, Transfer: 0.035}, 2, false, false},
+		{"reading is faster, and holds up much", engines.Cost{Prefill: 0.01, Transfer: 0.035}, 3, false, true},
+		{"the other engine is in another data hall", engines.Cost{Prefill: 0.01, Transfer: 0.035}, 3, true, false},
+		{"... and reading holds up more", engines.Cost{Prefill: 0.01, Transfer: 0.035}, 6, true, true},
+		{"as fast", engines.Cost{Prefill: 0.01, Transfer: 0.01}, 0, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := settled(3, now)
 			q := query(chat)
 			first := choose(t, b, q, now).Engine
 			leaving := first.Info()
-			leaving.Leaving = true
+			leaving.Draining = true
 			b.Put(leaving, now)
 			for _, id := range b.IDs() {
 				in := b.Get(id).Info()
@@ -48,7 +48,7 @@
 				}
 				b.Put(in, now)
 				for range tc.beside {
-					b.Get(id).Start(now)
+					b.Get(id).BeginRequest(now)
 				}
 			}
 			hear(b, now)
@@ -57,7 +57,7 @@
 			if c.Engine == first || c.Load != float64(tc.beside) {
 				t.Fatalf("got engine %s with load %g, want another one with load %d", c.Engine.Info().ID, c.Load, tc.beside)
 			}
-			if got := !c.Dearer; got != tc.want {
+			if got := !c.FetchTooCostly; got != tc.want {
 				t.Errorf("got a move told as dearer: %v, want %v", !got, !tc.want)
 			}
 			if got := c.Source == first; got != tc.want {
--- a/engines/health.go
+++ b/engines/health.go
@@ -7,8 +7,8 @@
 type Outcome string
 
 const (
-	// Good is a whole answer.
-	Good Outcome = "good"
+	// Succeeded is a whole answer.
+	Succeeded Outcome = "good"
 	// Neutral says nothing: the caller left, or the deadline was short.
 	Neutral Outcome = "neutral"
 	// Failed is a failure of the engine, a broken or a wrong answer.
@@ -17,8 +17,8 @@
 	Refused Outcome = "refused"
 	// Unreachable is an engine that took no connection or fell silent.
 	Unreachable Outcome = "unreachable"
-	// Departed is an engine that is not the one that is listed.
-	Departed Outcome = "departed"
+	// Replaced is an engine that is not the one that is listed.
+	Replaced Outcome = "departed"
 )
 
 // Bounds of suspicion.
@@ -55,23 +55,23 @@
 	h.at = now
 }
 
-// Trust is a change in what is believed of an engine.
-type Trust string
+// TrustChange is a change in what is believed of an engine.
+type TrustChange string
 
 const (
-	// Unchanged is no change.
-	Unchanged Trust = ""
+	// TrustUnchanged is no change.
+	TrustUnchanged TrustChange = ""
 	// Suspected engines could not be reached. They are left alone until they
 	// are: the caller is to find out.
-	Suspected Trust = "suspected"
+	Suspected TrustChange = "suspected"
 	// Trusted engines were reached again.
-	Trusted Trust = "trusted"
+	Trusted TrustChange = "trusted"
 )
 
-func (h *health) note(o Outcome, now clock.Millis) Trust {
+func (h *health) note(o Outcome, now clock.Millis) TrustChange {
 	h.fade(now)
 	switch o {
-	case Good:
+	case Succeeded:
 		h.good++
 		return h.reached()
 	case Failed:
@@ -82,18 +82,18 @@
 			h.unreached = true
 			return Suspected
 		}
-	case Departed:
+	case Replaced:
 		h.bad++
 		h.heldUntil = now + holdFor
 	case Refused, Neutral:
 	}
-	return Unchanged
+	return TrustUnchanged
 }
 
 // reached records that the engine took a connection.
-func (h *health) reached() Trust {
+func (h *health) reached() TrustChange {
 	if !h.unreached {
-		return Unchanged
+		return TrustUnchanged
 	}
 	h.unreached = false
 	return Trusted
--- a/engines/quiet_test.go
+++ b/engines/quiet_test.go
@@ -15,19 +15,19 @@
 		want   bool
 	}{
 		"never heard":                   {func(*engines.Engine) {}, true},
-		"heard before":                  {func(e *engines.Engine) { e.Heard(sent - 1) }, true},
-		"heard since":                   {func(e *engines.Engine) { e.Heard(sent + 1) }, false},
-		"a slot free, as told before":   {func(e *engines.Engine) { e.Told(engines.Load{Running: 4}, sent-1) }, true},
-		"full, as told before":          {func(e *engines.Engine) { e.Told(engines.Load{Running: 8, Waiting: 4}, sent-1) }, false},
-		"told others its load since":    {func(e *engines.Engine) { e.Told(engines.Load{}, sent+1) }, false},
+		"heard before":                  {func(e *engines.Engine) { e.RecordActivity(sent - 1) }, true},
+		"heard since":                   {func(e *engines.Engine) { e.RecordActivity(sent + 1) }, false},
+		"a slot free, as told before":   {func(e *engines.Engine) { e.RecordLoad(engines.Load{Running: 4}, sent-1) }, true},
+		"full, as told before":          {func(e *engines.Engine) { e.RecordLoad(engines.Load{Running: 8, Waiting: 4}, sent-1) }, false},
+		"told others its load since":    {func(e *engines.Engine) { e.RecordLoad(engines.Load{}, sent+1) }, false},
 		"full of this entry's requests": {func(e *engines.Engine) { start(e, 9, sent-10) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBook(1)
 			e := b.Get(info(0).ID)
-			e.Start(sent)
+			e.BeginRequest(sent)
 			tc.before(e)
-			if got := e.QuietSince(sent, now); got != tc.want {
+			if got := e.SilentSince(sent, now); got != tc.want {
 				t.Errorf("got %v, want %v", got, tc.want)
 			}
 		})
@@ -41,7 +41,7 @@
 		now  clock.Millis
 		want bool
 	}{{1000, true}, {1001, false}, {1999, false}, {2000, true}, {2500, false}} {
-		if got := e.MayAsk(tc.now); got != tc.want {
+		if got := e.AllowHealthCheck(tc.now); got != tc.want {
 			t.Errorf("at %d: got %v, want %v", tc.now, got, tc.want)
 		}
 	}
@@ -49,6 +49,6 @@
 
 func start(e *engines.Engine, n int, now clock.Millis) {
 	for range n {
-		e.Start(now)
+		e.BeginRequest(now)
 	}
 }
--- a/engines/reading_test.go
+++ b/engines/reading_test.go
@@ -27,7 +27,7 @@
 	rng     *rand.Rand
 	now     clock.Millis
 	events  []event
-	books   []*engines.Book
+	books   []*engines.Registry
 	engines map[string]*reader
 	// sent is how many requests were sent, over how many of them met an engine over the
 	// operators' bound.
@@ -49,12 +49,12 @@
 func newPool(seed uint64, entries, n int) *pool {
 	p := &pool{rng: rand.New(rand.NewPCG(seed, 0)), engines: map[string]*reader{}}
 	for range entries {
-		b := engines.NewBook()
+		b := engines.NewRegistry()
 		for i := range n {
 			b.Put(info(i), 0)
 			p.engines[info(i).ID] = &reader{}
 		}
-		b.Settle(0)
+		b.MarkSynced(0)
 		p.books = append(p.books, b)
 	}
 	return p
@@ -91,10 +91,10 @@
 	}
 	at.requests++
 	at.readsUntil = max(at.readsUntil, p.now) + reads
-	e.Start(p.now)
+	e.BeginRequest(p.now)
 	p.at(at.readsUntil, func() {
-		e.Heard(p.now)
-		e.Told(engines.Load{Running: at.requests}, p.now)
+		e.RecordActivity(p.now)
+		e.RecordLoad(engines.Load{Running: at.requests}, p.now)
 		p.end(e, at, p.now+answers)
 	})
 }
@@ -108,21 +108,21 @@
 			p.end(e, at, max(t, at.readsUntil))
 			return
 		case p.now < t:
-			e.Heard(p.now)
+			e.RecordActivity(p.now)
 			p.end(e, at, t)
 			return
 		}
 		at.requests--
-		e.Heard(p.now)
-		e.Finish(engines.Good, p.now)
+		e.RecordActivity(p.now)
+		e.EndRequest(engines.Succeeded, p.now)
 	})
 }
 
 // talk has each entry hear the loads that another knows.
 func (p *pool) talk() {
 	for _, b := range p.books {
-		for _, l := range p.books[p.rng.IntN(len(p.books))].Loads(2000, 32, p.now) {
-			b.Get(l.ID).Told(engines.Load{Running: l.Requests}, p.now-l.Age)
+		for _, l := range p.books[p.rng.IntN(len(p.books))].RecentLoads(2000, 32, p.now) {
+			b.Get(l.ID).RecordLoad(engines.Load{Running: l.Requests}, p.now-l.Age)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 		p := newPool(seed, entries, n)
 		q := query()
 		q.Silence = 5000
-		q.Bound, q.Slack = engines.PromptBound(loadFactor)
+		q.Bound, q.Slack = engines.AffinityBound(loadFactor)
 		for at := 0.0; at < day; at += p.rng.ExpFloat64() * 1000 / perSecond {
 			p.at(clock.Millis(at), func() {
 				q.Keys = []uint64{p.rng.Uint64N(1000)}
--- a/engines/recent.go
+++ b/engines/recent.go
@@ -48,28 +48,28 @@
 	e.newer, e.older = nil, nil
 }
 
-// KnownLoad is what an engine said of its load.
-type KnownLoad struct {
+// ReportedLoad is what an engine said of its load.
+type ReportedLoad struct {
 	Incarnation
 	Requests int
 	Age      clock.Millis
 }
 
-// Loads returns the n freshest loads that are at most limit old, those of one age sorted
+// RecentLoads returns the n freshest loads that are at most limit old, those of one age sorted
 // by id.
-func (b *Book) Loads(limit clock.Millis, n int, now clock.Millis) []KnownLoad {
+func (b *Registry) RecentLoads(limit clock.Millis, n int, now clock.Millis) []ReportedLoad {
 	if n <= 0 {
 		return nil
 	}
-	var out []KnownLoad
+	var out []ReportedLoad
 	for e := b.recent.first; e != nil; e = e.older {
 		age := now - e.othersAt
 		// The last of one age are all looked at.
 		if age > limit || (len(out) >= n && age > out[len(out)-1].Age) {
 			break
 		}
-		out = append(out, KnownLoad{Incarnation: e.info.Incarnation(), Requests: e.all, Age: age})
+		out = append(out, ReportedLoad{Incarnation: e.info.Incarnation(), Requests: e.all, Age: age})
 	}
-	slices.SortFunc(out, func(a, b KnownLoad) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(out, func(a, b ReportedLoad) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID)) })
 	return out[:min(n, len(out))]
 }
--- a/engines/restart_test.go
+++ b/engines/restart_test.go
@@ -13,17 +13,17 @@
 // life is an engine as listed in one of its lives.
 func life(i int, born int64) engines.Info {
 	in := info(i)
-	in.Born = born
+	in.StartedAt = born
 	return in
 }
 
 // livedBook returns a settled book whose engines were born at 1000.
-func livedBook(n int, now clock.Millis) *engines.Book {
-	b := engines.NewBook()
+func livedBook(n int, now clock.Millis) *engines.Registry {
+	b := engines.NewRegistry()
 	for i := range n {
 		b.Put(life(i, 1000), 0)
 	}
-	b.Settle(now)
+	b.MarkSynced(now)
 	hear(b, now)
 	return b
 }
@@ -34,46 +34,46 @@
 	const now = 100_000
 	chat := query(7)
 	home := choose(t, livedBook(4, now), chat, now).Engine.Info()
-	for name, believe := range map[string]func(b *engines.Book, e *engines.Engine){
-		"leaving": func(b *engines.Book, _ *engines.Engine) {
+	for name, believe := range map[string]func(b *engines.Registry, e *engines.Engine){
+		"leaving": func(b *engines.Registry, _ *engines.Engine) {
 			in := home
-			in.Leaving = true
+			in.Draining = true
 			b.Put(in, now)
 		},
-		"not reached": func(_ *engines.Book, e *engines.Engine) {
-			e.Start(now)
-			e.Finish(engines.Unreachable, now)
+		"not reached": func(_ *engines.Registry, e *engines.Engine) {
+			e.BeginRequest(now)
+			e.EndRequest(engines.Unreachable, now)
 		},
-		"another at its address": func(_ *engines.Book, e *engines.Engine) {
-			e.Start(now)
-			e.Finish(engines.Departed, now)
+		"another at its address": func(_ *engines.Registry, e *engines.Engine) {
+			e.BeginRequest(now)
+			e.EndRequest(engines.Replaced, now)
 		},
-		"failures": func(b *engines.Book, e *engines.Engine) {
+		"failures": func(b *engines.Registry, e *engines.Engine) {
 			for _, id := range b.IDs() {
 				for range 10 {
 					answer(b.Get(id), now)
 				}
 			}
 			for range 30 {
-				e.Start(now)
-				e.Finish(engines.Failed, now)
+				e.BeginRequest(now)
+				e.EndRequest(engines.Failed, now)
 			}
 		},
-		"silence": func(_ *engines.Book, e *engines.Engine) { e.Heard(now - 5000) },
-		"load": func(b *engines.Book, e *engines.Engine) {
+		"silence": func(_ *engines.Registry, e *engines.Engine) { e.RecordActivity(now - 5000) },
+		"load": func(b *engines.Registry, e *engines.Engine) {
 			for _, id := range b.IDs() {
-				b.Get(id).Told(engines.Load{}, now-1)
+				b.Get(id).RecordLoad(engines.Load{}, now-1)
 			}
-			e.Told(engines.Load{Running: 100}, now)
+			e.RecordLoad(engines.Load{Running: 100}, now)
 		},
-		"requests under way": func(_ *engines.Book, e *engines.Engine) {
+		"requests under way": func(_ *engines.Registry, e *engines.Engine) {
 			for range 100 {
-				e.Start(now)
-				e.Heard(now)
+				e.BeginRequest(now)
+				e.RecordActivity(now)
 			}
 		},
-		"missing":    func(b *engines.Book, _ *engines.Engine) { b.Doubt(home.ID) },
-		"unreadable": func(b *engines.Book, _ *engines.Engine) { b.Mask(home.ID) },
+		"missing":    func(b *engines.Registry, _ *engines.Engine) { b.MarkMissing(home.ID) },
+		"unreadable": func(b *engines.Registry, _ *engines.Engine) { b.MarkInvalid(home.ID) },
 	} {
 		for _, born := range []int64{2000, 500} {
 			b := livedBook(4, now)
@@ -82,7 +82,7 @@
 				t.Fatalf("%s: got the home of the chat, want another engine", name)
 			}
 			in := home
-			in.Born = born
+			in.StartedAt = born
 			if got := b.Put(in, now+10); got != engines.Restarted {
 				t.Errorf("%s, born at %d: got change %q, want %q", name, born, got, engines.Restarted)
 			}
@@ -101,18 +101,18 @@
 	const now = 100_000
 	b := livedBook(4, now)
 	home := choose(t, b, query(7), now).Engine.Info()
-	if !choose(t, b, query(7), now).Kept {
+	if !choose(t, b, query(7), now).PrefixSent {
 		t.Fatal("got a prompt not kept where it was sent, want it kept")
 	}
-	home.Born = 2000
+	home.StartedAt = 2000
 	b.Put(home, now)
-	if c := choose(t, b, query(7), now); c.Kept || c.Engine.Info() != home {
-		t.Errorf("got engine %+v, kept %v, want the home in its later life, which keeps nothing", c.Engine.Info(), c.Kept)
+	if c := choose(t, b, query(7), now); c.PrefixSent || c.Engine.Info() != home {
+		t.Errorf("got engine %+v, kept %v, want the home in its later life, which keeps nothing", c.Engine.Info(), c.PrefixSent)
 	}
 	// The prompt was there once more; an engine that takes it over may ask for it.
-	b.Get(home.ID).Heard(now)
+	b.Get(home.ID).RecordActivity(now)
 	for range 100 {
-		b.Get(home.ID).Start(now)
+		b.Get(home.ID).BeginRequest(now)
 	}
 	if c := choose(t, b, query(7), now); sourceID(c) != home.ID {
 		t.Errorf("got source %q, want the home that had the prompt since", sourceID(c))
@@ -125,7 +125,7 @@
 	const now = 100_000
 	home := choose(t, livedBook(4, now), query(7), now).Engine.Info()
 	b := livedBook(4, now)
-	home.Born = 2000
+	home.StartedAt = 2000
 	b.Put(home, now)
 	if c := choose(t, b, query(7), now); c.Engine.Info() != home || c.Source == nil {
 		t.Errorf("got engine %+v with source %q, want the home and one that may keep the chat", c.Engine.Info(), sourceID(c))
@@ -154,9 +154,9 @@
 		in.Hall = "b"
 		b.Put(in, now)
 		answer(b.Get(in.ID), now)
-		b.Evacuate([]string{"b"}, now)
+		b.SetEvacuatedHalls([]string{"b"}, now)
 		if restart {
-			in.Born = 2000
+			in.StartedAt = 2000
 			b.Put(in, now+5000)
 			answer(b.Get(in.ID), now+5000)
 		}
@@ -181,16 +181,16 @@
 		b := livedBook(4, 0)
 		b.Put(life(0, later), 100)
 		late := life(0, 1000)
-		late.Leaving, late.Addr = true, "10.9.9.9:80"
-		if got := b.Put(late, 200); got != engines.Late {
-			t.Errorf("got change %q, want %q", got, engines.Late)
+		late.Draining, late.Addr = true, "10.9.9.9:80"
+		if got := b.Put(late, 200); got != engines.Stale {
+			t.Errorf("got change %q, want %q", got, engines.Stale)
 		}
 		if got, want := b.Get("e00").Info(), life(0, later); got != want {
 			t.Errorf("got %+v, want the later life %+v", got, want)
 		}
 		b.Remove("e00")
-		if got := b.Put(late, 300); got != engines.Late || b.Get("e00") != nil {
-			t.Errorf("got change %q and engine %v after the later life is gone, want %q and none", got, b.Get("e00"), engines.Late)
+		if got := b.Put(late, 300); got != engines.Stale || b.Get("e00") != nil {
+			t.Errorf("got change %q and engine %v after the later life is gone, want %q and none", got, b.Get("e00"), engines.Stale)
 		}
 	}
 }
@@ -201,16 +201,16 @@
 	const now = 100_000
 	b := livedBook(4, now)
 	leaving := life(0, 1000)
-	leaving.Leaving = true
+	leaving.Draining = true
 	b.Put(leaving, now)
 	b.Put(life(0, 1000), now+10)
-	if !b.Get("e00").Info().Leaving {
+	if !b.Get("e00").Info().Draining {
 		t.Error("got an engine that no longer leaves, want it leaving for the rest of its life")
 	}
 	home := choose(t, b, query(7), now).Engine.Info()
 	b.Remove(home.ID)
 	b.Put(home, now)
-	if !choose(t, b, query(7), now).Kept {
+	if !choose(t, b, query(7), now).PrefixSent {
 		t.Error("got a prompt not kept by an engine that was off the list for a moment, want it kept")
 	}
 }
@@ -218,7 +218,7 @@
 func TestAnEngineThatLeavesFromItsStartTakesNothing(t *testing.T) {
 	b := livedBook(2, 0)
 	in := life(0, 2000)
-	in.Leaving = true
+	in.Draining = true
 	b.Put(in, 100)
 	for key := range uint64(50) {
 		if got := choose(t, b, query(key+1), 200).Engine.Info().ID; got == "e00" {
@@ -235,7 +235,7 @@
 	if got := b.Find(earlier); got != nil {
 		t.Errorf("got %+v for a life that ended, want none", got.Info())
 	}
-	if got := b.Find(engines.Incarnation{ID: "e00", Born: 2000}); got == nil {
+	if got := b.Find(engines.Incarnation{ID: "e00", StartedAt: 2000}); got == nil {
 		t.Error("got none for the life that goes on")
 	}
 }
@@ -248,15 +248,15 @@
 		t.Errorf("got change %q for an entry without a start, want %q", got, engines.Same)
 	}
 	leaving := info(0)
-	leaving.Leaving = true
+	leaving.Draining = true
 	b.Put(leaving, 200)
-	if !b.Get("e00").Info().Leaving {
+	if !b.Get("e00").Info().Draining {
 		t.Error("got an engine that does not leave, want its word of it taken without a start")
 	}
 	first := newBook(2)
 	first.Put(life(0, 1000), 100)
 	first.Put(leaving, 200)
-	if !first.Get("e00").Info().Leaving {
+	if !first.Get("e00").Info().Draining {
 		t.Error("got an engine that does not leave where its first entry told no start, want it leaving")
 	}
 	plain := newBook(2)
@@ -277,19 +277,19 @@
 		want   string
 	}{
 		{"nothing known", func(_, _ *engines.Engine) {}, "e01"},
-		{"the later answered", func(_, newer *engines.Engine) { newer.Heard(now + 20) }, "e01"},
-		{"the earlier answered", func(older, _ *engines.Engine) { older.Heard(now + 20) }, "e00"},
+		{"the later answered", func(_, newer *engines.Engine) { newer.RecordActivity(now + 20) }, "e01"},
+		{"the earlier answered", func(older, _ *engines.Engine) { older.RecordActivity(now + 20) }, "e00"},
 		{"the later is not there", func(_, newer *engines.Engine) {
-			newer.Start(now + 20)
-			newer.Finish(engines.Departed, now+21)
+			newer.BeginRequest(now + 20)
+			newer.EndRequest(engines.Replaced, now+21)
 		}, "e00"},
 		{"the earlier is not there", func(older, _ *engines.Engine) {
-			older.Start(now + 20)
-			older.Finish(engines.Departed, now+21)
+			older.BeginRequest(now + 20)
+			older.EndRequest(engines.Replaced, now+21)
 		}, "e01"},
 	} {
 		for _, order := range [][]engines.Info{{earlier, later}, {later, earlier}} {
-			b := engines.NewBook()
+			b := engines.NewRegistry()
 			for _, in := range order {
 				b.Put(in, now)
 			}
@@ -320,22 +320,22 @@
 		}
 	}
 	b.Remove("e02")
-	if !b.Get("e00").TakesNew() {
+	if !b.Get("e00").AcceptsRequests() {
 		t.Error("got an engine that takes nothing, want it to when it alone is listed with its address")
 	}
 }
 
 // Entries that were there when the list was first read are in no order.
 func TestTheOrderOfTheFirstReadingOustsNobody(t *testing.T) {
-	b := engines.NewBook()
+	b := engines.NewRegistry()
 	for i := range 3 {
 		in := info(i)
 		in.Addr = info(0).Addr
 		b.Put(in, clock.Millis(i))
 	}
-	b.Settle(10)
+	b.MarkSynced(10)
 	for _, id := range b.IDs() {
-		if !b.Get(id).TakesNew() {
+		if !b.Get(id).AcceptsRequests() {
 			t.Errorf("got %s ousted by the order of a reading, want each to be tried", id)
 		}
 	}
@@ -345,13 +345,13 @@
 // there, never one whose entry is unreadable, and in no life but the latest.
 func TestListsOfAnyKindLeaveTheBookWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := engines.NewBook()
+		b := engines.NewRegistry()
 		now := clock.Millis(1000)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 500).Draw(t, "pass"))
 			in := life(rapid.IntRange(0, 3).Draw(t, "engine"), int64(rapid.IntRange(0, 3).Draw(t, "born")))
 			in.Addr = info(rapid.IntRange(0, 2).Draw(t, "address")).Addr
-			in.Leaving = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
+			in.Draining = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
 			e := b.Get(in.ID)
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
@@ -359,18 +359,18 @@
 			case 2:
 				b.Remove(in.ID)
 			case 3:
-				b.Mask(in.ID)
+				b.MarkInvalid(in.ID)
 			case 4:
 				if e != nil {
-					e.Heard(now)
+					e.RecordActivity(now)
 				}
 			case 5:
 				if e != nil {
-					e.Start(now)
-					e.Finish(engines.Departed, now)
+					e.BeginRequest(now)
+					e.EndRequest(engines.Replaced, now)
 				}
 			}
-			takes := slices.DeleteFunc(b.IDs(), func(id string) bool { return !b.Get(id).TakesNew() })
+			takes := slices.DeleteFunc(b.IDs(), func(id string) bool { return !b.Get(id).AcceptsRequests() })
 			c, ok := b.Choose(query(uint64(now)), now)
 			if ok != (len(takes) > 0) {
 				t.Fatalf("got an engine: %v, want %v of %v", ok, len(takes) > 0, takes)
@@ -379,7 +379,7 @@
 				t.Fatalf("got %+v, want one of %v", c.Engine.Info(), takes)
 			}
 			for _, id := range b.IDs() {
-				for _, o := range b.Rivals(id) {
+				for _, o := range b.AddrConflicts(id) {
 					if o.ID == id || b.Get(o.ID) == nil || b.Get(o.ID).Info().Addr != b.Get(id).Info().Addr {
 						t.Fatalf("got rival %v of %s, want a listed engine at its address", o, id)
 					}
@@ -395,12 +395,12 @@
 	const now = 100_000
 	truth := life(1, 1000)
 	leaving := truth
-	leaving.Leaving = true
-	for name, lie := range map[string]func(b *engines.Book){
-		"leaving":          func(b *engines.Book) { b.Put(leaving, now) },
-		"leaving and gone": func(b *engines.Book) { b.Put(leaving, now); b.Remove(truth.ID) },
-		"gone":             func(b *engines.Book) { b.Remove(truth.ID) },
-		"a later life":     func(b *engines.Book) { b.Put(life(1, 9000), now) },
+	leaving.Draining = true
+	for name, lie := range map[string]func(b *engines.Registry){
+		"leaving":          func(b *engines.Registry) { b.Put(leaving, now) },
+		"leaving and gone": func(b *engines.Registry) { b.Put(leaving, now); b.Remove(truth.ID) },
+		"gone":             func(b *engines.Registry) { b.Remove(truth.ID) },
+		"a later life":     func(b *engines.Registry) { b.Put(life(1, 9000), now) },
 	} {
 		b := livedBook(3, now)
 		lie(b)
@@ -411,7 +411,7 @@
 		if got := b.Put(truth, now); got != engines.Joined {
 			t.Errorf("%s: got %q when it is listed again, want %q", name, got, engines.Joined)
 		}
-		if e := b.Get(truth.ID); e == nil || !e.TakesNew() {
+		if e := b.Get(truth.ID); e == nil || !e.AcceptsRequests() {
 			t.Errorf("%s: got the engine not taking anything new, want it used", name)
 		}
 	}
@@ -427,11 +427,11 @@
 		shared := 0
 		for i := range 10 {
 			for ms := range int64(starts) {
-				life := engines.Incarnation{ID: prefix + string(rune('0'+i)), Born: 1_796_303_191_300 + ms}
-				if _, ok := lives[life.Mark()]; ok {
+				life := engines.Incarnation{ID: prefix + string(rune('0'+i)), StartedAt: 1_796_303_191_300 + ms}
+				if _, ok := lives[life.Hash()]; ok {
 					shared++
 				}
-				lives[life.Mark()] = life
+				lives[life.Hash()] = life
 			}
 		}
 		if shared > 0 {
@@ -445,23 +445,23 @@
 func TestLivesThatEndedUnplannedAreKnown(t *testing.T) {
 	const now = 100_000
 	leaving := life(0, 1000)
-	leaving.Leaving = true
+	leaving.Draining = true
 	for name, tc := range map[string]struct {
-		change func(b *engines.Book)
+		change func(b *engines.Registry)
 		want   bool
 	}{
-		"it lives":                         {func(*engines.Book) {}, false},
-		"a later life":                     {func(b *engines.Book) { b.Put(life(0, 2000), now) }, true},
-		"gone":                             {func(b *engines.Book) { b.Remove("e00") }, true},
-		"gone and back":                    {func(b *engines.Book) { b.Remove("e00"); b.Put(life(0, 1000), now) }, false},
-		"a later life after it left":       {func(b *engines.Book) { b.Put(leaving, now); b.Put(life(0, 2000), now) }, false},
-		"gone after it left":               {func(b *engines.Book) { b.Put(leaving, now); b.Remove("e00") }, false},
-		"gone by what others told falsely": {func(b *engines.Book) { b.Remove("e00"); b.Forget("e00") }, false},
+		"it lives":                         {func(*engines.Registry) {}, false},
+		"a later life":                     {func(b *engines.Registry) { b.Put(life(0, 2000), now) }, true},
+		"gone":                             {func(b *engines.Registry) { b.Remove("e00") }, true},
+		"gone and back":                    {func(b *engines.Registry) { b.Remove("e00"); b.Put(life(0, 1000), now) }, false},
+		"a later life after it left":       {func(b *engines.Registry) { b.Put(leaving, now); b.Put(life(0, 2000), now) }, false},
+		"gone after it left":               {func(b *engines.Registry) { b.Put(leaving, now); b.Remove("e00") }, false},
+		"gone by what others told falsely": {func(b *engines.Registry) { b.Remove("e00"); b.Forget("e00") }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := livedBook(2, now)
 			tc.change(b)
-			if got := b.Crashed(engines.Incarnation{ID: "e00", Born: 1000}); got != tc.want {
+			if got := b.Crashed(engines.Incarnation{ID: "e00", StartedAt: 1000}); got != tc.want {
 				t.Errorf("got ended unplanned %v, want %v", got, tc.want)
 			}
 		})
--- a/engines/source.go
+++ b/engines/source.go
@@ -16,7 +16,7 @@
 // for prompts that other entries sent, the ranking tells where these put them.
 // Leaving and evacuated engines still give what they have. A wrong guess costs the
 // engine one question.
-func (b *Book) source(q Query, order *ranking, chosen *Engine, now clock.Millis) *Engine {
+func (b *Registry) source(q Query, order *ranking, chosen *Engine, now clock.Millis) *Engine {
 	last := len(q.Keys) - 1
 	for i := last; i >= 0; i-- {
 		if b.keeps(chosen, q.Keys[i], now) {
@@ -39,7 +39,7 @@
 // keeper returns the engine to which other entries most likely sent a prompt
 // before: one that ranks before the chosen one and is left out, or else the
 // next of its homes, which were also those before the chosen one joined.
-func (b *Book) keeper(order *ranking, q Query, chosen *Engine, now clock.Millis) *Engine {
+func (b *Registry) keeper(order *ranking, q Query, chosen *Engine, now clock.Millis) *Engine {
 	i := 0
 	for ; order.has(i); i++ {
 		e := order.in[order.at(i)]
@@ -63,7 +63,7 @@
 
 // keeps reports whether an engine most likely keeps a beginning that this entry
 // sent it. One that was evacuated meanwhile may not, if another had it later.
-func (b *Book) keeps(e *Engine, key uint64, now clock.Millis) bool {
+func (b *Registry) keeps(e *Engine, key uint64, now clock.Millis) bool {
 	n := e.info.Incarnation()
 	if !b.memory.holds(key, n) {
 		return false
@@ -79,7 +79,7 @@
 func (e *Engine) returned(now clock.Millis) bool { return e.backAt > 0 && now-e.backAt < youth }
 
 // sound reports whether an engine answers, as far as is known.
-func (b *Book) sound(e *Engine, silence, now clock.Millis) bool {
+func (b *Registry) sound(e *Engine, silence, now clock.Millis) bool {
 	if e.unreadable || e.ousted() || e.health.held(now) || e.silence(now) > silence {
 		return false
 	}
@@ -97,7 +97,7 @@
 // vouched reports whether an evacuated engine is there though nothing is sent to
 // it that could bring a sign: the list says so. It is worth asking while the
 // chats that it had return, unless it started since and had none.
-func (b *Book) vouched(e *Engine, now clock.Millis) bool {
+func (b *Registry) vouched(e *Engine, now clock.Millis) bool {
 	since, ok := b.evacuated[e.info.Hall]
 	return ok && now-since < youth && e.seenAt <= since
 }
--- a/engines/source_test.go
+++ b/engines/source_test.go
@@ -9,16 +9,16 @@
 
 // settled returns a book of n engines that have been there for long and gave a
 // sign just now.
-func settled(n int, now clock.Millis) *engines.Book {
+func settled(n int, now clock.Millis) *engines.Registry {
 	b := newBook(n)
-	b.Settle(now)
+	b.MarkSynced(now)
 	hear(b, now)
 	return b
 }
 
-func hear(b *engines.Book, now clock.Millis) {
+func hear(b *engines.Registry, now clock.Millis) {
 	for _, id := range b.IDs() {
-		b.Get(id).Heard(now)
+		b.Get(id).RecordActivity(now)
 	}
 }
 
@@ -41,7 +41,7 @@
 	t.Helper()
 	home = choose(t, settled(5, now), query(chat), now).Engine.Info()
 	leaving = home
-	leaving.Leaving = true
+	leaving.Draining = true
 	return home, leaving
 }
 
@@ -51,7 +51,7 @@
 	const now = 100_000
 	const chat = 42
 	home, leaving := homeOf(t, chat, now)
-	manyJoin := func(b *engines.Book) {
+	manyJoin := func(b *engines.Registry) {
 		for i := 5; i < 100; i++ {
 			b.Put(info(i), now)
 		}
@@ -59,15 +59,15 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(b *engines.Book)
+		change func(b *engines.Registry)
 		query  engines.Query
 		want   string
 	}{
-		{"nothing changed", func(*engines.Book) {}, query(chat), ""},
-		{"the home is leaving", func(b *engines.Book) { b.Put(leaving, now) }, query(chat), home.ID},
-		{"the list lost the home", func(b *engines.Book) { b.Remove(home.ID) }, query(chat), ""},
-		{"the home cannot be reached", func(b *engines.Book) {
-			b.Get(home.ID).Finish(engines.Unreachable, now)
+		{"nothing changed", func(*engines.Registry) {}, query(chat), ""},
+		{"the home is leaving", func(b *engines.Registry) { b.Put(leaving, now) }, query(chat), home.ID},
+		{"the list lost the home", func(b *engines.Registry) { b.Remove(home.ID) }, query(chat), ""},
+		{"the home cannot be reached", func(b *engines.Registry) {
+			b.Get(home.ID).EndRequest(engines.Unreachable, now)
 		}, query(chat), ""},
 		{"many engines joined", manyJoin, query(chat), home.ID},
 	} {
@@ -91,9 +91,9 @@
 		want  string
 	}{{0, home.ID}, {2500, home.ID}, {5500, home.ID}, {6500, ""}} {
 		b := newBook(5)
-		b.Settle(now)
+		b.MarkSynced(now)
 		for _, id := range b.IDs() {
-			b.Get(id).Told(engines.Load{Running: 1}, now)
+			b.Get(id).RecordLoad(engines.Load{Running: 1}, now)
 		}
 		b.Put(leaving, now)
 		if got := sourceID(choose(t, b, query(chat), now+tc.since)); got != tc.want {
@@ -109,11 +109,11 @@
 		b := settled(5, now)
 		first := choose(t, b, short(chat), now).Engine
 		for range 3 {
-			first.Start(now)
+			first.BeginRequest(now)
 		}
 		second := settled(5, now)
 		for range 3 {
-			second.Get(first.Info().ID).Start(now)
+			second.Get(first.Info().ID).BeginRequest(now)
 		}
 		c := choose(t, second, short(chat), now)
 		if c.Engine.Info().ID == first.Info().ID {
--- a/gate/call.go
+++ b/gate/call.go
@@ -67,7 +67,7 @@
 	// how says by what the latest engine was chosen, kept whether this entry had
 	// sent it the prompt before, fetched whether it was told who keeps more of
 	// it.
-	how     engines.How
+	how     engines.Basis
 	kept    bool
 	fetched bool
 	// dearer is true if it was not told since a move costs more than to read, and readTime
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -42,13 +42,13 @@
 
 // cold returns what holds for cold engines of a request's service. The caller
 // holds mu.
-func (g *Gate) cold(c *call) engines.Cold {
+func (g *Gate) cold(c *call) engines.Warmup {
 	s, ok := c.table.Service(c.service)
 	b := g.bounds()
 	if !ok || s.Warmup <= 0 || b.ColdOverrun+b.ColdExtra <= 0 {
-		return engines.Cold{}
+		return engines.Warmup{}
 	}
-	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.coldMost(s, id) }}
+	return engines.Warmup{Duration: s.Warmup, MaxRequests: func(id string) int { return g.coldMost(s, id) }}
 }
 
 // coldMost is this entry's part of what a cold engine may get. The caller holds
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -33,7 +33,7 @@
 	stop := clock.AfterUnless(wait, func() {
 		defer close(over)
 		if g.isDark(ctx, e, service.HealthPath, sent) {
-			g.guard.Dark(c.suspect(), e.Incarnation().Mark(), e.ID, sent)
+			g.guard.Dark(c.suspect(), e.Incarnation().Hash(), e.ID, sent)
 		}
 	})
 	return func() {
@@ -54,7 +54,7 @@
 	g.mu.Lock()
 	known := g.book.Find(e.Incarnation())
 	now := g.clk.Now()
-	quiet := known != nil && known.QuietSince(since, now) && known.MayAsk(now)
+	quiet := known != nil && known.SilentSince(since, now) && known.AllowHealthCheck(now)
 	g.mu.Unlock()
 	if !quiet {
 		return false
@@ -73,7 +73,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, life := range lives {
-		if e := g.book.Marked(life); e != nil {
+		if e := g.book.ByHash(life); e != nil {
 			c.tried = append(c.tried, e.Info().ID)
 		}
 	}
--- a/gate/evacuate.go
+++ b/gate/evacuate.go
@@ -28,7 +28,7 @@
 	g.mu.Lock()
 	before := g.evacuated
 	g.evacuated = halls
-	g.book.Evacuate(halls, g.clk.Now())
+	g.book.SetEvacuatedHalls(halls, g.clk.Now())
 	g.mu.Unlock()
 	g.logEvacuations("begun", halls, before)
 	g.logEvacuations("taken_back", before, halls)
@@ -42,7 +42,7 @@
 			continue
 		}
 		g.mu.Lock()
-		n := g.book.InHall(h)
+		n := g.book.CountInHall(h)
 		g.mu.Unlock()
 		g.log.Info("evacuation", "change", change, "hall", h, "engines", n)
 	}
@@ -59,7 +59,7 @@
 // noEngine is the refusal of a request for which there is no engine. The caller
 // holds mu.
 func (g *Gate) noEngine(c *call) *verdict.Error {
-	if n, all := g.book.Evacuated(c.service); n > 0 && n == all {
+	if n, all := g.book.CountEvacuated(c.service); n > 0 && n == all {
 		return verdict.New(c.verdict(), verdict.NoEngine, "all %d engines of %s are in data halls under evacuation", n, c.service).WithRetryAfter(retryEvacuated)
 	}
 	return verdict.New(c.verdict(), verdict.NoEngine, "no engine of %s is left, %d tried", c.service, len(c.tried)).WithRetryAfter(retrySoon)
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -109,8 +109,8 @@
 	}
 	k.Remembers = g.remembers(now)
 	k.List, k.ListAge = g.tellList(now)
-	for _, l := range g.book.Loads(loadFresh, loads, now) {
-		k.Loads = append(k.Loads, peers.Load{Engine: l.Mark(), Requests: l.Requests, Age: l.Age})
+	for _, l := range g.book.RecentLoads(loadFresh, loads, now) {
+		k.Loads = append(k.Loads, peers.Load{Engine: l.Hash(), Requests: l.Requests, Age: l.Age})
 	}
 	return k
 }
@@ -178,8 +178,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range loads {
-		if e := g.book.Marked(l.Engine); e != nil && l.Age >= 0 && l.Requests >= 0 {
-			e.Told(engines.Load{Running: l.Requests}, at-l.Age)
+		if e := g.book.ByHash(l.Engine); e != nil && l.Age >= 0 && l.Requests >= 0 {
+			e.RecordLoad(engines.Load{Running: l.Requests}, at-l.Age)
 		}
 	}
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -130,7 +130,7 @@
 
 	// mu guards what follows.
 	mu      sync.Mutex
-	book    *engines.Book
+	book    *engines.Registry
 	budgets map[string]*serviceBudget
 	// evacuated names the data halls under evacuation, sorted.
 	evacuated []string
@@ -193,7 +193,7 @@
 		cfg: cfg, clk: cfg.Clock, log: cfg.Log, wire: d, style: style(d.RequestID),
 		reserved: nameSet(d.Reserved), internal: nameSet(d.Internal),
 		pool: upstream.NewPool(cfg.Clock, upstream.Names{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
-		book: engines.NewBook(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
+		book: engines.NewRegistry(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
 		durations: duration.New(), speeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
 	}
 	g.leave.estimate = g.estimate
--- a/gate/list.go
+++ b/gate/list.go
@@ -10,22 +10,22 @@
 	before := g.book.Get(in.ID)
 	change := g.book.Put(in, g.clk.Now())
 	g.boundConns(g.table.Load(), in)
-	rivals := g.book.Rivals(in.ID)
+	rivals := g.book.AddrConflicts(in.ID)
 	g.mu.Unlock()
 	switch change {
 	case engines.Same:
 		return
-	case engines.TurnedCold:
-		g.log.Info("engine_cold", "engine", in.ID, "service", in.Service, "for_ms", in.ColdFor)
+	case engines.WarmupStarted:
+		g.log.Info("engine_cold", "engine", in.ID, "service", in.Service, "for_ms", in.WarmupLeft)
 		return
 	case engines.Restarted:
 		// Its earlier life has answered the last on these.
 		g.pool.Forget(before.Info().Addr)
 		g.tellEnd(before.Info())
 	}
-	g.log.Info("engine", "change", string(change), "engine", in.ID, "born", in.Born, "service", in.Service, "addr", in.Addr, "hall", in.Hall)
+	g.log.Info("engine", "change", string(change), "engine", in.ID, "born", in.StartedAt, "service", in.Service, "addr", in.Addr, "hall", in.Hall)
 	for _, o := range rivals {
-		g.log.Warn("engine_address_shared", "addr", in.Addr, "engine", in.ID, "born", in.Born, "other", o.ID, "other_born", o.Born)
+		g.log.Warn("engine_address_shared", "addr", in.Addr, "engine", in.ID, "born", in.StartedAt, "other", o.ID, "other_born", o.StartedAt)
 	}
 }
 
@@ -40,15 +40,15 @@
 	}
 	g.pool.Forget(in.Addr)
 	g.tellEnd(in)
-	g.log.Info("engine", "change", string(engines.Gone), "engine", id, "service", in.Service, "addr", in.Addr, "cause", cause)
+	g.log.Info("engine", "change", string(engines.Removed), "engine", id, "service", in.Service, "addr", in.Addr, "cause", cause)
 }
 
 // tellEnd records that a life of an engine is over by the list. One that had said that it
 // leaves ended as planned, whatever ran there.
 func (g *Gate) tellEnd(in engines.Info) {
-	mark := in.Incarnation().Mark()
+	mark := in.Incarnation().Hash()
 	g.guard.Confirm(mark)
-	if !in.Leaving {
+	if !in.Draining {
 		g.guard.LifeEnded(mark, in.ID, groundListed)
 	}
 }
@@ -72,7 +72,7 @@
 // DoubtEngine records that the list lacks an engine that may come back.
 func (g *Gate) DoubtEngine(id string) {
 	g.mu.Lock()
-	news := g.book.Doubt(id)
+	news := g.book.MarkMissing(id)
 	g.mu.Unlock()
 	if news {
 		g.log.Info("engine", "change", string(engines.Missing), "engine", id, "cause", "missing from the list after the store was away")
@@ -82,9 +82,9 @@
 // MaskEngine records that the entry of an engine names no engine to use.
 func (g *Gate) MaskEngine(id, cause string) {
 	g.mu.Lock()
-	news := g.book.Mask(id)
+	news := g.book.MarkInvalid(id)
 	g.mu.Unlock()
 	if news {
-		g.log.Warn("engine", "change", string(engines.Unreadable), "engine", id, "cause", cause)
+		g.log.Warn("engine", "change", string(engines.Invalid), "engine", id, "cause", cause)
 	}
 }
--- a/gate/listing.go
+++ b/gate/listing.go
@@ -74,7 +74,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if first = !g.listed.Known(); first {
-		g.book.Settle(at)
+		g.book.MarkSynced(at)
 	}
 	g.list.askedAt, g.list.toldAt = at, 0
 	g.knowList(sum, at)
--- a/gate/place.go
+++ b/gate/place.go
@@ -20,12 +20,12 @@
 	if !g.knowsEvacuations(now) {
 		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's word of evacuations is %d ms old", g.published.Age(now)).WithRetryAfter(g.retryElsewhere(now))
 	}
-	bound, slack := engines.PromptBound(g.bounds().LoadBound)
+	bound, slack := engines.AffinityBound(g.bounds().LoadBound)
 	service, _ := c.table.Service(c.service)
-	cost := engines.Cost{Read: g.readTime(c.service), Move: service.MoveTime}
+	cost := engines.Cost{Prefill: g.readTime(c.service), Transfer: service.MoveTime}
 	ch, ok := g.book.Choose(engines.Query{
 		Service: c.service, Keys: c.keys, Tokens: c.tokens, Cost: cost, Bound: bound, Slack: slack,
-		Silence: silence(c.route), Cold: g.cold(c), Tried: c.tried, Alone: alone, Random: random(),
+		Silence: silence(c.route), Warmup: g.cold(c), Tried: c.tried, Isolated: alone, Random: random(),
 	}, now)
 	if !ok && alone {
 		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines ended while they ran this request, and no engine of %s can be spared to try it", c.service).WithRetryAfter(retrySoon)
@@ -34,15 +34,15 @@
 		return pick{}, g.noEngine(c)
 	}
 	in := ch.Engine.Info()
-	ch.Engine.Start(now)
+	ch.Engine.BeginRequest(now)
 	c.sentAt = now
 	c.tried, c.alone = append(c.tried, in.ID), alone
-	c.how, c.kept, c.load, c.mean = ch.How, ch.Kept, ch.Load, ch.Mean
+	c.how, c.kept, c.load, c.mean = ch.Basis, ch.PrefixSent, ch.Load, ch.Mean
 	p := pick{Info: in}
 	if service.Moves && ch.Source != nil {
 		p.source = ch.Source.Info().Addr
 	}
-	c.fetched, c.dearer, c.readTime = p.source != "", ch.Dearer, cost.Read
+	c.fetched, c.dearer, c.readTime = p.source != "", ch.FetchTooCostly, cost.Prefill
 	return p, nil
 }
 
@@ -71,9 +71,9 @@
 	if e == nil {
 		return
 	}
-	e.Heard(now)
+	e.RecordActivity(now)
 	if l, ok := parseLoad(load); ok {
-		e.Told(l, now)
+		e.RecordLoad(l, now)
 	}
 }
 
@@ -87,23 +87,23 @@
 		g.mu.Unlock()
 		return
 	}
-	trust := e.Finish(o, now)
+	trust := e.EndRequest(o, now)
 	g.mu.Unlock()
 	g.tellTrust(n, trust, string(o))
 }
 
 // tellTrust logs what changed in the trust in an engine, and has one sought that cannot
 // be reached.
-func (g *Gate) tellTrust(n engines.Incarnation, t engines.Trust, cause string) {
+func (g *Gate) tellTrust(n engines.Incarnation, t engines.TrustChange, cause string) {
 	g.logTrust(n.ID, t, cause)
 	if t == engines.Suspected {
-		g.guard.Confirm(n.Mark())
+		g.guard.Confirm(n.Hash())
 		go g.seek(n)
 	}
 }
 
-func (g *Gate) logTrust(id string, t engines.Trust, cause string) {
-	if t != engines.Unchanged {
+func (g *Gate) logTrust(id string, t engines.TrustChange, cause string) {
+	if t != engines.TrustUnchanged {
 		g.log.Info("engine_trust", "engine", id, "trust", t, "cause", cause)
 	}
 }
@@ -123,13 +123,13 @@
 			g.mu.Unlock()
 			return
 		}
-		addr, sought := e.Info().Addr, e.TakesNew()
+		addr, sought := e.Info().Addr, e.AcceptsRequests()
 		g.mu.Unlock()
 		if !sought || g.pool.Open(addr) != nil {
 			continue
 		}
 		g.mu.Lock()
-		trust := e.Reached(g.clk.Now())
+		trust := e.MarkReached(g.clk.Now())
 		g.mu.Unlock()
 		g.logTrust(n.ID, trust, "connected")
 		return
--- a/gate/send.go
+++ b/gate/send.go
@@ -96,7 +96,7 @@
 		return g.engineRefused(e.Info, a)
 	}
 	c.ran++
-	g.guard.Alive(e.Incarnation().Mark(), a.Opened())
+	g.guard.Alive(e.Incarnation().Hash(), a.Opened())
 	o := g.relay(ctx, c, e.Info, a)
 	g.finish(e.Incarnation(), judge(ctx, o))
 	return o
@@ -137,7 +137,7 @@
 // sign of the one that was asked.
 func (g *Gate) misdirected(e engines.Info, a *upstream.Answer) attempt.Outcome {
 	drain(a)
-	g.finish(e.Incarnation(), engines.Departed)
+	g.finish(e.Incarnation(), engines.Replaced)
 	return attempt.Refused{Err: fmt.Errorf("status %d: another engine is at %s", a.StatusCode, e.Addr)}
 }
 
@@ -145,10 +145,10 @@
 func judge(ctx context.Context, o attempt.Outcome) engines.Outcome {
 	switch o := o.(type) {
 	case attempt.Answered:
-		return engines.Good
+		return engines.Succeeded
 	case attempt.Broken:
 		if errors.Is(o.Err, relay.ErrUnconfirmed) {
-			return engines.Good
+			return engines.Succeeded
 		}
 		return failedUnless(ctx)
 	case attempt.Failed:
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -40,7 +40,7 @@
 	case err != nil:
 		g.guard.Over(c.suspect())
 	default:
-		life := e.Incarnation().Mark()
+		life := e.Incarnation().Hash()
 		g.reserve(life, g.clk.Now()+quarantine.TrialLimit)
 		g.guard.Placed(c.suspect(), life, e.ID)
 	}
@@ -63,7 +63,7 @@
 // learnEnd records what the end of an attempt tells of the request. An engine that ended
 // is asked for no more; which of its requests ended it others may know better.
 func (g *Gate) learnEnd(ctx context.Context, c *call, e pick, o attempt.Outcome) {
-	life := e.Incarnation().Mark()
+	life := e.Incarnation().Hash()
 	switch o := o.(type) {
 	case attempt.Answered:
 		if o.End == framing.Complete && c.reply.Status() < http.StatusMultipleChoices {
@@ -84,19 +84,19 @@
 func (g *Gate) learnBreak(ctx context.Context, c *call, e pick, err error) {
 	life := e.Incarnation()
 	if g.engineEnded(ctx, e.Info, err) {
-		g.guard.Struck(c.suspect(), life.Mark(), e.ID)
+		g.guard.Struck(c.suspect(), life.Hash(), e.ID)
 		return
 	}
 	silent := errors.Is(err, upstream.ErrSilent)
 	if ctx.Err() != nil || !(silent || upstream.BrokenOff(err)) {
 		return
 	}
-	g.guard.Broke(c.suspect(), life.Mark(), e.ID, silent)
+	g.guard.Broke(c.suspect(), life.Hash(), e.ID, silent)
 	g.mu.Lock()
 	crashed := g.book.Crashed(life)
 	g.mu.Unlock()
 	if crashed {
-		g.guard.LifeEnded(life.Mark(), e.ID, groundListed)
+		g.guard.LifeEnded(life.Hash(), e.ID, groundListed)
 	}
 }
 
@@ -123,9 +123,9 @@
 // lost records that an engine ended. It gets nothing until it is reached again.
 func (g *Gate) lost(n engines.Incarnation) {
 	g.mu.Lock()
-	trust := engines.Unchanged
+	trust := engines.TrustUnchanged
 	if e := g.book.Find(n); e != nil {
-		trust = e.Lost(g.clk.Now())
+		trust = e.MarkLost(g.clk.Now())
 	}
 	g.mu.Unlock()
 	g.tellTrust(n, trust, "ended")
@@ -135,7 +135,7 @@
 func (g *Gate) reserve(life uint32, until clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.book.Marked(life); e != nil {
+	if e := g.book.ByHash(life); e != nil {
 		e.Reserve(until)
 	}
 }
@@ -144,7 +144,7 @@
 func (g *Gate) isLost(life uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.book.Marked(life)
+	e := g.book.ByHash(life)
 	return e != nil && e.Unreached()
 }
 
--- a/measure/replay/alone.go
+++ b/measure/replay/alone.go
@@ -17,7 +17,7 @@
 	// the chat, at no cost in time.
 	Moves bool
 
-	books []*engines.Book
+	books []*engines.Registry
 	rnd   *rand.Rand
 	// talked is when entries last told each other of loads.
 	talked clock.Millis
@@ -46,7 +46,7 @@
 	if a.books == nil {
 		a.rnd = rand.New(rand.NewPCG(p.cfg.Seed, 11))
 		for range p.cfg.Entries {
-			a.books = append(a.books, engines.NewBook())
+			a.books = append(a.books, engines.NewRegistry())
 		}
 	}
 	for i, b := range a.books {
@@ -70,10 +70,10 @@
 // talk has each entry tell all others what it knows of loads.
 func (a *Alone) talk(p *pool) {
 	for i, from := range a.books {
-		for _, l := range from.Loads(freshLoad, p.cfg.Engines, p.now) {
+		for _, l := range from.RecentLoads(freshLoad, p.cfg.Engines, p.now) {
 			for k, to := range a.books {
 				if e := to.Get(l.ID); k != i && e != nil {
-					e.Told(engines.Load{Running: l.Requests}, p.now-l.Age)
+					e.RecordLoad(engines.Load{Running: l.Requests}, p.now-l.Age)
 				}
 			}
 		}
@@ -83,7 +83,7 @@
 func (a *Alone) choose(p *pool, entry int, t trace.Turn) (*eng, int) {
 	a.prepare(p)
 	b := a.books[entry]
-	bound, slack := engines.PromptBound(p.cfg.Bound)
+	bound, slack := engines.AffinityBound(p.cfg.Bound)
 	q := engines.Query{Service: poolName, Keys: []uint64{p.key(t)}, Tokens: t.Prompt, Bound: bound, Slack: slack, Silence: muchSilence, Random: a.rnd.Float64()}
 	for len(q.Tried) < aloneTries {
 		c, ok := b.Choose(q, p.now)
@@ -92,14 +92,14 @@
 		}
 		e := p.find(c.Engine.Info().ID)
 		q.Tried = append(q.Tried, e.id)
-		c.Engine.Start(p.now)
+		c.Engine.BeginRequest(p.now)
 		switch {
 		case e.gone:
-			c.Engine.Finish(engines.Unreachable, p.now)
+			c.Engine.EndRequest(engines.Unreachable, p.now)
 		case e.leaving:
-			c.Engine.Finish(engines.Refused, p.now)
+			c.Engine.EndRequest(engines.Refused, p.now)
 		default:
-			c.Engine.Told(engines.Load{Running: e.running + 1}, p.now)
+			c.Engine.RecordLoad(engines.Load{Running: e.running + 1}, p.now)
 			if a.Moves && c.Source != nil {
 				p.find(c.Source.Info().ID).copyTo(e, t.Chat)
 			}
@@ -118,6 +118,6 @@
 
 func (a *Alone) ran(p *pool, entry int, _ trace.Turn, e *eng) {
 	if believed := a.books[entry].Get(e.id); believed != nil {
-		believed.Finish(engines.Good, p.now)
+		believed.EndRequest(engines.Succeeded, p.now)
 	}
 }
