--- a/engines/book.go
+++ b/engines/book.go
@@ -59,14 +59,14 @@
 type Change string
 
 const (
-	Same    Change = "same"
-	Joined  Change = "joined"
-	DrainStarted    Change = "leaving"
-	Changed Change = "changed"
+	Same         Change = "same"
+	Joined       Change = "joined"
+	DrainStarted Change = "leaving"
+	Changed      Change = "changed"
 	// Missing engines were lost by the list and may come back; Back ones did.
-	Missing Change = "missing"
-	Returned    Change = "back"
-	Removed    Change = "gone"
+	Missing  Change = "missing"
+	Returned Change = "back"
+	Removed  Change = "gone"
 	// WarmupStarted engines bear few requests for a while.
 	WarmupStarted Change = "cold"
 	// Restarted engines began a new life under the id that they had.
--- a/engines/engine.go
+++ b/engines/engine.go
@@ -35,7 +35,7 @@
 // Incarnation is one life of an engine. An engine may start again under the id
 // that it had, and then knows and holds nothing of before.
 type Incarnation struct {
-	ID   string
+	ID        string
 	StartedAt int64
 }
 
--- a/gate/place.go
+++ b/gate/place.go
@@ -97,7 +97,7 @@
 func (g *Gate) tellTrust(n engines.Incarnation, t engines.TrustChange, cause string) {
 	g.logTrust(n.ID, t, cause)
 	if t == engines.Suspected {
-		g.guard.Confirm(n.Hash())
+		g.guard.ConfirmCrash(n.Hash())
 		go g.seek(n)
 	}
 }
