--- a/engines/attempt/attempt.go
+++ b/engines/attempt/attempt.go
@@ -16,8 +16,8 @@
 	// Answered means that the caller has all that came of the answer. End, which is
 	// Complete or Closed, says whether that is known to be the whole.
 	Answered struct{ End framing.End }
-	// Unsent means that nothing of the request reached the engine.
-	Unsent struct{ Err error }
+	// NotSent means that nothing of the request reached the engine.
+	NotSent struct{ Err error }
 	// Refused means that the engine, or who speaks for it, said that it did not run
 	// the request, and another engine may be asked.
 	Refused struct{ Err error }
@@ -26,14 +26,14 @@
 	Broken struct{ Err error }
 	// Failed means that the engine ran the request and answered with a failure of
 	// its own, which is held for the caller.
-	Failed struct{ Answer *Held }
+	Failed struct{ Response *BufferedResponse }
 	// CallerGone means that the caller left or does not read. The request may have
 	// run unless Err, which may be nil, carries another verdict.
 	CallerGone struct{ Err error }
 )
 
-// Held is an answer that has come to its end and is not yet passed on.
-type Held struct {
+// BufferedResponse is an answer that has come to its end and is not yet passed on.
+type BufferedResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -42,7 +42,7 @@
 }
 
 func (Answered) outcome()   {}
-func (Unsent) outcome()     {}
+func (NotSent) outcome()    {}
 func (Refused) outcome()    {}
 func (Broken) outcome()     {}
 func (Failed) outcome()     {}
--- a/engines/events/events.go
+++ b/engines/events/events.go
@@ -25,10 +25,10 @@
 	count int
 }
 
-// Add takes the next bytes and returns those that belong to whole events. The
+// Split takes the next bytes and returns those that belong to whole events. The
 // result is valid until the next call. It reports false when an event is too
 // long to be held back.
-func (s *Splitter) Add(p []byte) (whole []byte, ok bool) {
+func (s *Splitter) Split(p []byte) (whole []byte, ok bool) {
 	s.pending = append(s.pending, p...)
 	end := 0
 	for {
@@ -49,10 +49,10 @@
 // Pending returns the bytes that belong to no whole event yet.
 func (s *Splitter) Pending() []byte { return s.pending }
 
-// Inside reports whether the bytes that belong to no whole event are the beginning of one.
+// MidEvent reports whether the bytes that belong to no whole event are the beginning of one.
 // Empty lines, comments and whole lines of retry are none, and neither are events whose lines
 // end with carriage returns, which Add does not split.
-func (s *Splitter) Inside() bool {
+func (s *Splitter) MidEvent() bool {
 	rest := bytes.TrimPrefix(s.pending, byteOrderMark)
 	if bytes.IndexByte(rest, '\n') < 0 {
 		rest = bytes.ReplaceAll(rest, []byte("\r"), []byte("\n"))
@@ -75,13 +75,13 @@
 // byteOrderMark may stand before a stream.
 var byteOrderMark = []byte("\ufeff")
 
-// Numbered reports whether a stream can be taken up after its latest whole event: it has an
+// Resumable reports whether a stream can be taken up after its latest whole event: it has an
 // id, or there is no event yet.
-func (s *Splitter) Numbered() bool { return !s.unnumbered }
+func (s *Splitter) Resumable() bool { return !s.unnumbered }
 
-// Drop forgets the bytes that belong to no whole event: the engine that sent
+// DropPending forgets the bytes that belong to no whole event: the engine that sent
 // them broke off.
-func (s *Splitter) Drop() { s.pending = s.pending[:0] }
+func (s *Splitter) DropPending() { s.pending = s.pending[:0] }
 
 // LastID returns the id of the latest whole event that had one, or "".
 func (s *Splitter) LastID() string { return s.lastID }
--- a/engines/events/events_test.go
+++ b/engines/events/events_test.go
@@ -19,7 +19,7 @@
 		var out []byte
 		for rest := stream; len(rest) > 0; {
 			n := min(len(rest), int(size)+1)
-			whole, ok := s.Add(rest[:n])
+			whole, ok := s.Split(rest[:n])
 			if !ok {
 				t.Fatal("got an event that is too long, want none in so short a stream")
 			}
@@ -37,7 +37,7 @@
 
 func TestTheLastWholeEventIsKnown(t *testing.T) {
 	var s events.Splitter
-	whole, _ := s.Add([]byte("id: 7\ndata: a\n\nid:8\ndata: b\n\nid: 9\nda"))
+	whole, _ := s.Split([]byte("id: 7\ndata: a\n\nid:8\ndata: b\n\nid: 9\nda"))
 	if got, want := s.LastID(), "8"; got != want {
 		t.Errorf("got id %q, want %q", got, want)
 	}
@@ -47,8 +47,8 @@
 	if strings.Contains(string(whole), "9") {
 		t.Errorf("got %q, want whole events alone", whole)
 	}
-	s.Drop()
-	if whole, _ = s.Add([]byte("id: 9\ndata: c\n\n")); string(whole) != "id: 9\ndata: c\n\n" {
+	s.DropPending()
+	if whole, _ = s.Split([]byte("id: 9\ndata: c\n\n")); string(whole) != "id: 9\ndata: c\n\n" {
 		t.Errorf("got %q after the rest was dropped, want the event from its start", whole)
 	}
 }
@@ -70,10 +70,10 @@
 		"data: a\n\n: a comment\ndata: b\n": true,
 	} {
 		var s events.Splitter
-		if _, ok := s.Add([]byte(stream)); !ok {
+		if _, ok := s.Split([]byte(stream)); !ok {
 			t.Fatalf("%q: got an event that is too long", stream)
 		}
-		if got := s.Inside(); got != want {
+		if got := s.MidEvent(); got != want {
 			t.Errorf("%q: got inside an event %v, want %v", stream, got, want)
 		}
 	}
--- a/engines/events/reader.go
+++ b/engines/events/reader.go
@@ -58,7 +58,7 @@
 // fill reads on.
 func (r *Reader) fill() {
 	n, err := r.r.Read(r.piece)
-	whole, ok := r.split.Add(r.piece[:n])
+	whole, ok := r.split.Split(r.piece[:n])
 	r.ready = whole
 	switch {
 	case !ok:
--- a/engines/offer/offer.go
+++ b/engines/offer/offer.go
@@ -29,47 +29,47 @@
 	cancelTimeout clock.Millis = 1000
 )
 
-// Beliefs takes what offers show of daemons and loads.
-type Beliefs interface {
-	Reached(daemon string)
-	Unreachable(daemon string)
+// Observer takes what offers show of daemons and loads.
+type Observer interface {
+	DaemonReached(daemon string)
+	DaemonUnreachable(daemon string)
 	SampleLoads(loads []wire.Load)
 }
 
-// Answer takes what comes back.
-type Answer interface {
-	// Frames writes the next frames to the caller.
-	Frames(frames []wire.Frame) error
-	// Begun reports whether the caller has got a status.
-	Begun() bool
+// ResponseWriter takes what comes back.
+type ResponseWriter interface {
+	// WriteFrames writes the next frames to the caller.
+	WriteFrames(frames []wire.Frame) error
+	// Started reports whether the caller has got a status.
+	Started() bool
 }
 
 // Daemon is where a request is offered.
 type Daemon struct{ ID, Addr string }
 
-// Offers are the attempts of one process. It is safe for concurrent use.
-type Offers struct {
+// Client are the attempts of one process. It is safe for concurrent use.
+type Client struct {
 	links   *link.Pool
-	beliefs Beliefs
+	beliefs Observer
 	inboxes *inboxes
 }
 
 // New returns offers that go over the connections of a pool, whose handler must pass
 // frames on to Frame.
-func New(links *link.Pool, beliefs Beliefs) *Offers {
-	return &Offers{links: links, beliefs: beliefs, inboxes: newInboxes()}
+func New(links *link.Pool, beliefs Observer) *Client {
+	return &Client{links: links, beliefs: beliefs, inboxes: newInboxes()}
 }
 
-// Frame takes a piece of an answer.
-func (o *Offers) Frame(f wire.Frame) { o.inboxes.deliver(f) }
+// HandleFrame takes a piece of an answer.
+func (o *Client) HandleFrame(f wire.Frame) { o.inboxes.deliver(f) }
 
 // Do offers a request to a daemon and passes what comes back on to w. The result is the
 // daemon's last word, of use if the request was answered or refused.
-func (o *Offers) Do(ctx context.Context, to Daemon, run wire.Run, w Answer) (attempt.Outcome, wire.Result) {
+func (o *Client) Do(ctx context.Context, to Daemon, run wire.Run, w ResponseWriter) (attempt.Outcome, wire.Result) {
 	conn, err := o.links.Get(to.Addr, link.Data)
 	if err != nil {
-		o.beliefs.Unreachable(to.ID)
-		return attempt.Unsent{Err: verdict.New(verdict.NotRun, verdict.Unreachable, "daemon %s: %w", to.ID, err)}, wire.Result{}
+		o.beliefs.DaemonUnreachable(to.ID)
+		return attempt.NotSent{Err: verdict.New(verdict.NotRun, verdict.Unreachable, "daemon %s: %w", to.ID, err)}, wire.Result{}
 	}
 	run.Attempt = max(1, rand.Uint64())
 	a := &sending{o: o, w: w, id: run.Attempt, to: to, boot: conn.PeerBoot(), in: o.inboxes.open(run.Attempt), answer: framing.Complete}
@@ -80,8 +80,8 @@
 
 // sending is one attempt on its way.
 type sending struct {
-	o    *Offers
-	w    Answer
+	o    *Client
+	w    ResponseWriter
 	id   uint64
 	to   Daemon
 	boot uint64
@@ -110,7 +110,7 @@
 		var res wire.Result
 		err := conn.Call(context.Background(), method, params, &res)
 		if err == nil {
-			a.o.beliefs.Reached(a.to.ID)
+			a.o.beliefs.DaemonReached(a.to.ID)
 		}
 		ended <- end{res, err}
 	}()
@@ -169,7 +169,7 @@
 		}
 		a.o.beliefs.SampleLoads(frames[0].Head.Loads)
 	}
-	if err := a.w.Frames(frames); err != nil {
+	if err := a.w.WriteFrames(frames); err != nil {
 		return attempt.CallerGone{Err: verdict.New(verdict.MayHaveRun, verdict.CallerGone, "write to the caller: %w", err)}
 	}
 	if full {
@@ -198,7 +198,7 @@
 		a.start(conn, wire.MethodResume, wire.Resume{Attempt: a.id, From: a.in.due(), Boot: a.boot})
 		return nil
 	}
-	a.o.beliefs.Unreachable(a.to.ID)
+	a.o.beliefs.DaemonUnreachable(a.to.ID)
 	return attempt.Broken{Err: verdict.New(verdict.MayHaveRun, verdict.LinkLost, "daemon %s: %w", a.to.ID, cause)}
 }
 
@@ -209,7 +209,7 @@
 	}
 	v := verdict.MayHaveRun
 	// An answer that has begun ran, whatever the daemon says.
-	if res.Verdict == verdict.NotRun && !a.w.Begun() {
+	if res.Verdict == verdict.NotRun && !a.w.Started() {
 		v = verdict.NotRun
 	}
 	err := verdict.New(v, res.Reason, "%s", res.Message).WithRetryAfter(res.RetryAfter)
@@ -222,7 +222,7 @@
 // abandon gives the attempt up and asks the daemon what became of it: not_run is said
 // only on the daemon's word.
 func (a *sending) abandon(o attempt.Outcome) attempt.Outcome {
-	if certain := a.cancel(); !certain || a.w.Begun() {
+	if certain := a.cancel(); !certain || a.w.Started() {
 		return o
 	}
 	switch o := o.(type) {
--- a/engines/offer/offer_test.go
+++ b/engines/offer/offer_test.go
@@ -73,15 +73,15 @@
 }
 
 // sender is the process that offers; it believes nothing.
-type sender struct{ offers *offer.Offers }
+type sender struct{ offers *offer.Client }
 
 func (s *sender) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
 	return nil, errors.New("nothing is asked of a sender")
 }
 func (s *sender) Notify(*link.Conn, string, json.RawMessage) {}
-func (s *sender) Frame(f wire.Frame)                         { s.offers.Frame(f) }
-func (s *sender) Reached(string)                             {}
-func (s *sender) Unreachable(string)                         {}
+func (s *sender) Frame(f wire.Frame)                         { s.offers.HandleFrame(f) }
+func (s *sender) DaemonReached(string)                       {}
+func (s *sender) DaemonUnreachable(string)                   {}
 func (s *sender) SampleLoads([]wire.Load)                    {}
 
 // caller keeps what comes.
@@ -95,8 +95,8 @@
 	came func()
 }
 
-// Frames implements offer.Answer.
-func (c *caller) Frames(frames []wire.Frame) error {
+// WriteFrames implements offer.Answer.
+func (c *caller) WriteFrames(frames []wire.Frame) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range frames {
@@ -112,15 +112,15 @@
 	return nil
 }
 
-// Begun implements offer.Answer.
-func (c *caller) Begun() bool {
+// Started implements offer.Answer.
+func (c *caller) Started() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.begun
 }
 
 // serve serves a daemon and returns offers that reach it.
-func serve(t *testing.T, d *daemon) (offers *offer.Offers, addr string) {
+func serve(t *testing.T, d *daemon) (offers *offer.Client, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -173,7 +173,7 @@
 	switch o := o.(type) {
 	case attempt.Answered:
 		return "answered", verdict.Ran
-	case attempt.Unsent:
+	case attempt.NotSent:
 		return "unsent", verdict.From(o.Err).Verdict()
 	case attempt.Refused:
 		return "refused", verdict.From(o.Err).Verdict()
--- a/engines/prefill/prefill.go
+++ b/engines/prefill/prefill.go
@@ -29,13 +29,13 @@
 	leastApart = 2
 )
 
-// Speed is how fast engines read. The zero value knows nothing.
+// Estimator is how fast engines read. The zero value knows nothing.
 //
 // It is the slope of a resistant line: from the lower to the upper third of the requests by
 // their new tokens, between the first tenth of each by the time that they took. Most of
 // what delays a beginning (other prompts, moves, memory that was lost) makes it later, and
 // does not reach the quickest.
-type Speed struct {
+type Estimator struct {
 	// latest are the latest requests in a ring, at most latestMost of them.
 	latest []begun
 	next   int
@@ -52,9 +52,9 @@
 	took   clock.Millis
 }
 
-// Note records that an answer began so long after its request was sent to an engine, whose
+// Observe records that an answer began so long after its request was sent to an engine, whose
 // prompt ended in so many tokens of its own.
-func (s *Speed) Note(tokens int, took clock.Millis) {
+func (s *Estimator) Observe(tokens int, took clock.Millis) {
 	if tokens <= 0 || took < 0 {
 		return
 	}
@@ -70,12 +70,12 @@
 	}
 }
 
-// PerToken returns the milliseconds that an engine reads at one token, 0 while that is not
+// MillisPerToken returns the milliseconds that an engine reads at one token, 0 while that is not
 // known.
-func (s *Speed) PerToken() float64 { return s.perToken }
+func (s *Estimator) MillisPerToken() float64 { return s.perToken }
 
 // learn works out the speed. Requests that tell none leave it as it was.
-func (s *Speed) learn() {
+func (s *Estimator) learn() {
 	byTokens := slices.Clone(s.latest)
 	slices.SortFunc(byTokens, func(a, b begun) int { return cmp.Compare(a.tokens, b.tokens) })
 	n := len(byTokens) / parts
--- a/engines/prefill/prefill_test.go
+++ b/engines/prefill/prefill_test.go
@@ -29,12 +29,12 @@
 			var ratios []float64
 			for seed := range uint64(50) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				var s prefill.Speed
+				var s prefill.Estimator
 				for range 200 {
 					tokens := drawn(rng)
-					s.Note(tokens, began(rng, tokens, perToken, delayed))
+					s.Observe(tokens, began(rng, tokens, perToken, delayed))
 				}
-				ratios = append(ratios, s.PerToken()/perToken)
+				ratios = append(ratios, s.MillisPerToken()/perToken)
 			}
 			mean := 0.0
 			for _, r := range ratios {
@@ -50,19 +50,19 @@
 // Nothing is told before enough was seen, nor from prompts that are all alike.
 func TestAnUnknownSpeedIsNotTold(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var few, alike, odd prefill.Speed
+	var few, alike, odd prefill.Estimator
 	for range 29 {
 		tokens := drawn(rng)
-		few.Note(tokens, began(rng, tokens, 0.1, 0))
+		few.Observe(tokens, began(rng, tokens, 0.1, 0))
 	}
 	for range 100 {
-		alike.Note(500, began(rng, 500, 0.1, 0.3))
-		odd.Note(0, 100)
-		odd.Note(-5, 100)
-		odd.Note(100, -1)
+		alike.Observe(500, began(rng, 500, 0.1, 0.3))
+		odd.Observe(0, 100)
+		odd.Observe(-5, 100)
+		odd.Observe(100, -1)
 	}
-	for name, s := range map[string]*prefill.Speed{"few": &few, "alike": &alike, "odd": &odd} {
-		if got := s.PerToken(); got != 0 {
+	for name, s := range map[string]*prefill.Estimator{"few": &few, "alike": &alike, "odd": &odd} {
+		if got := s.MillisPerToken(); got != 0 {
 			t.Errorf("%s: got %g ms a token, want it unknown", name, got)
 		}
 	}
@@ -72,13 +72,13 @@
 // requests as are kept.
 func TestAChangedSpeedIsLearned(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
-	var s prefill.Speed
+	var s prefill.Estimator
 	for _, perToken := range []float64{0.02, 0.2, 0.02} {
 		for range 80 {
 			tokens := drawn(rng)
-			s.Note(tokens, began(rng, tokens, perToken, 0.2))
+			s.Observe(tokens, began(rng, tokens, perToken, 0.2))
 		}
-		if got := s.PerToken(); got < perToken/2 || got > perToken*2 {
+		if got := s.MillisPerToken(); got < perToken/2 || got > perToken*2 {
 			t.Errorf("got %g ms a token, want about %g", got, perToken)
 		}
 	}
@@ -88,15 +88,15 @@
 // no request makes the speed negative.
 func TestNoFewRequestsDecideTheSpeed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 1))
-	var s prefill.Speed
+	var s prefill.Estimator
 	for i := range 400 {
 		tokens := drawn(rng)
 		took := began(rng, tokens, 0.05, 0)
 		if i%20 == 0 {
 			took = clock.Millis(rng.IntN(60_000))
 		}
-		s.Note(tokens, took)
-		if got := s.PerToken(); i > 40 && (got < 0.02 || got > 0.15) {
+		s.Observe(tokens, took)
+		if got := s.MillisPerToken(); i > 40 && (got < 0.02 || got > 0.15) {
 			t.Fatalf("got %g ms a token after %d requests, want about 0.05", got, i)
 		}
 	}
@@ -104,8 +104,8 @@
 
 func BenchmarkNote(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var s prefill.Speed
+	var s prefill.Estimator
 	for range b.N {
-		s.Note(drawn(rng), 30)
+		s.Observe(drawn(rng), 30)
 	}
 }
--- a/engines/upstream/dark_test.go
+++ b/engines/upstream/dark_test.go
@@ -48,7 +48,7 @@
 			clk := clock.System()
 			b := newRigOn(t, clk)
 			tc.before(t, b)
-			if got := b.pool.Dark(context.Background(), b.engine.Addr(), question, clk.Now()-tc.since, soon); got != tc.want {
+			if got := b.pool.Unresponsive(context.Background(), b.engine.Addr(), question, clk.Now()-tc.since, soon); got != tc.want {
 				t.Errorf("got %v, want %v", got, tc.want)
 			}
 		})
@@ -61,7 +61,7 @@
 	b := newRigOn(t, clk)
 	b.keepDirect(t)
 	before := b.engine.Dials()
-	b.pool.Dark(context.Background(), b.engine.Addr(), question, clk.Now()-late, soon)
+	b.pool.Unresponsive(context.Background(), b.engine.Addr(), question, clk.Now()-late, soon)
 	if got := b.engine.Dials() - before; got != 0 {
 		t.Errorf("got %d connections to ask an engine that was heard, want none", got)
 	}
@@ -76,7 +76,7 @@
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
-	if b.pool.Dark(context.Background(), addr, question, 0, soon) {
+	if b.pool.Unresponsive(context.Background(), addr, question, 0, soon) {
 		t.Error("got an engine dark whose address refuses connections, want it not known")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -84,7 +84,7 @@
 		cancel()
 		return standin.Reply{Wait: late.Duration()}
 	})
-	if b.pool.Dark(ctx, b.engine.Addr(), question, 0, late) {
+	if b.pool.Unresponsive(ctx, b.engine.Addr(), question, 0, late) {
 		t.Error("got an engine dark though the question was broken off, want it not known")
 	}
 }
--- a/engines/upstream/pool.go
+++ b/engines/upstream/pool.go
@@ -45,14 +45,14 @@
 	readBuffer = 4 << 10
 )
 
-// ArrivalLag is how long after it was given to a pool a request may arrive at its engine:
+// MaxArrivalDelay is how long after it was given to a pool a request may arrive at its engine:
 // until a connection is up, and then while the kernel keeps what nobody acknowledges.
-const ArrivalLag = dialLimit + dial.UserTimeout
+const MaxArrivalDelay = dialLimit + dial.UserTimeout
 
 // Pool keeps connections to engines. It is safe for concurrent use.
 type Pool struct {
 	clk    *clock.Clock
-	names  Names
+	names  HeaderNames
 	log    *slog.Logger
 	link   *downlink.Downlink
 	dialer *net.Dialer
@@ -79,7 +79,7 @@
 
 // NewPool returns an empty pool. link is that of the process, nil if nothing is known
 // of it.
-func NewPool(clk *clock.Clock, names Names, link *downlink.Downlink, log *slog.Logger) *Pool {
+func NewPool(clk *clock.Clock, names HeaderNames, link *downlink.Downlink, log *slog.Logger) *Pool {
 	return &Pool{
 		clk: clk, names: names, log: log, link: link, dialer: dial.New(dialLimit), idle: map[string][]*conn{}, open: map[string]int{}, most: map[string]int{},
 		busy: map[string]map[*conn]bool{}, doubted: map[string]clock.Millis{},
@@ -90,8 +90,8 @@
 	}
 }
 
-// SetMost bounds the connections to addr; zero takes the bound away.
-func (p *Pool) SetMost(addr string, n int) {
+// SetMaxConns bounds the connections to addr; zero takes the bound away.
+func (p *Pool) SetMaxConns(addr string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n <= 0 {
@@ -115,8 +115,8 @@
 	}
 }
 
-// ForgetIdle closes all idle connections: what was at their other ends may be gone.
-func (p *Pool) ForgetIdle() {
+// CloseIdle closes all idle connections: what was at their other ends may be gone.
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
 	p.idle = map[string][]*conn{}
@@ -128,9 +128,9 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long, and those that
+// CloseExpired closes connections that have been idle for too long, and those that
 // are in doubt.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseExpired() {
 	now := p.clk.Now()
 	var old []*conn
 	p.mu.Lock()
@@ -259,8 +259,8 @@
 	return c, nil
 }
 
-// Open opens a connection to addr and keeps it for a request to come.
-func (p *Pool) Open(addr string) error {
+// Preconnect opens a connection to addr and keeps it for a request to come.
+func (p *Pool) Preconnect(addr string) error {
 	c, err := p.dial(context.Background(), addr)
 	if err != nil {
 		return err
@@ -269,10 +269,10 @@
 	return nil
 }
 
-// Ended reports whether the process that listened at addr has ended: its machine
+// ProcessEnded reports whether the process that listened at addr has ended: its machine
 // answers, and refuses a connection. Of a machine that does not answer in time it is not
 // known. A connection that comes up is kept for a request to come.
-func (p *Pool) Ended(ctx context.Context, addr string) bool {
+func (p *Pool) ProcessEnded(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, inquiryLimit.Duration())
 	defer cancel()
 	c, err := p.dial(ctx, addr)
@@ -283,10 +283,10 @@
 	return false
 }
 
-// Dark reports whether the machine at addr takes a connection on which its process gives no
+// Unresponsive reports whether the machine at addr takes a connection on which its process gives no
 // sign within limit when it is asked r, and nothing came on any other connection since a
 // time. Of a machine that does not answer it is not known.
-func (p *Pool) Dark(ctx context.Context, addr string, r *Request, since, limit clock.Millis) bool {
+func (p *Pool) Unresponsive(ctx context.Context, addr string, r *Request, since, limit clock.Millis) bool {
 	if p.heardSince(addr, since) {
 		return false
 	}
--- a/engines/upstream/silent_test.go
+++ b/engines/upstream/silent_test.go
@@ -49,13 +49,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	names := upstream.Names{RequestID: dialect.RequestID, NotRun: dialect.NotRun}
+	names := upstream.HeaderNames{RequestID: dialect.RequestID, NotRun: dialect.NotRun}
 	return &rig{pool: upstream.NewPool(clk, names, nil, slog.New(slog.DiscardHandler)), link: linktest.New(t, e.Addr()), engine: e, doubt: soon}
 }
 
 func (b *rig) request(id string) *upstream.Request {
 	h := http.Header{dialect.RequestID: {id}}
-	return &upstream.Request{ID: id, Method: http.MethodGet, URI: "/x", Host: "h", Header: h, Doubt: b.doubt}
+	return &upstream.Request{ID: id, Method: http.MethodGet, URI: "/x", Host: "h", Header: h, SilenceTimeout: b.doubt}
 }
 
 func (b *rig) do(id string, limit clock.Millis) error {
--- a/engines/upstream/upstream.go
+++ b/engines/upstream/upstream.go
@@ -45,12 +45,12 @@
 	ErrFull = fmt.Errorf("%w: no connection to spare", ErrNotSent)
 	// ErrSilent means that the engine sent nothing within the time allowed.
 	ErrSilent = errors.New("engine is silent")
-	// ErrBadAnswer means that what came is no answer to the request.
-	ErrBadAnswer = errors.New("not an answer to the request")
+	// ErrBadResponse means that what came is no answer to the request.
+	ErrBadResponse = errors.New("not an answer to the request")
 )
 
-// Names are the headers that the client itself must know.
-type Names struct {
+// HeaderNames are the headers that the client itself must know.
+type HeaderNames struct {
 	// RequestID is echoed by engines.
 	RequestID string
 	// NotRun marks an answer of an engine that did not run the request.
@@ -68,14 +68,14 @@
 	Body   []byte
 	// HasBody is true when a length is to be sent even for an empty body.
 	HasBody bool
-	// Doubt is how long the engine may give no sign before the connections on
+	// SilenceTimeout is how long the engine may give no sign before the connections on
 	// which it has not been heard since are no longer used, 0 for ever.
-	Doubt clock.Millis
+	SilenceTimeout clock.Millis
 }
 
-// Answer is the head of an engine's answer, with its body still to be read.
+// Response is the head of an engine's answer, with its body still to be read.
 // Close must be called.
-type Answer struct {
+type Response struct {
 	*http.Response
 	conn *conn
 	pool *Pool
@@ -92,12 +92,12 @@
 }
 
 // NotRun reports whether the engine said that it did not run the request.
-func (a *Answer) NotRun() bool {
+func (a *Response) NotRun() bool {
 	return a.StatusCode == http.StatusMisdirectedRequest || a.Header.Get(a.pool.names.NotRun) != ""
 }
 
 // Read reads the body. io.EOF means that it has ended, by its framing or with its connection.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.Body.Read(p)
 	if errors.Is(err, io.EOF) {
 		a.ended = true
@@ -108,18 +108,18 @@
 	return n, err
 }
 
-// Opened returns when the connection of the answer came up.
-func (a *Answer) Opened() clock.Millis { return a.conn.opened }
+// ConnectedAt returns when the connection of the answer came up.
+func (a *Response) ConnectedAt() clock.Millis { return a.conn.opened }
 
 // Buffered returns how many bytes have arrived and are not yet read.
-func (a *Answer) Buffered() int { return a.conn.br.Buffered() }
+func (a *Response) Buffered() int { return a.conn.br.Buffered() }
 
-// Limit sets the time by which the next bytes must come.
-func (a *Answer) Limit(d clock.Millis) { a.conn.limit(d) }
+// SetReadTimeout sets the time by which the next bytes must come.
+func (a *Response) SetReadTimeout(d clock.Millis) { a.conn.limit(d) }
 
 // Close keeps the connection if the exchange ended well, or ends it, which
 // tells the engine to stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.once.Do(func() {
 		attached := a.stop()
 		ok := attached && a.ended && a.keep && framing.Of(a.Response) != framing.UntilClose && a.conn.br.Buffered() == 0 && a.bodySent()
@@ -129,7 +129,7 @@
 }
 
 // bodySent reports whether the request was written to its end.
-func (a *Answer) bodySent() bool {
+func (a *Response) bodySent() bool {
 	if a.sent == nil {
 		return true
 	}
@@ -144,7 +144,7 @@
 // Do sends r to the engine at addr and returns the head of its answer. The
 // head must come within limit. When ctx is done the connection is closed;
 // nothing is sent after that.
-func (p *Pool) Do(ctx context.Context, addr string, r *Request, limit clock.Millis) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, addr string, r *Request, limit clock.Millis) (*Response, error) {
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, context.Cause(ctx))
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.begin(c, r.Doubt)
+	p.begin(c, r.SilenceTimeout)
 	stop := context.AfterFunc(ctx, c.abort)
 	a, err := p.exchange(c, r, limit)
 	if err != nil {
@@ -168,9 +168,9 @@
 	return a, nil
 }
 
-func (p *Pool) exchange(c *conn, r *Request, limit clock.Millis) (*Answer, error) {
+func (p *Pool) exchange(c *conn, r *Request, limit clock.Millis) (*Response, error) {
 	c.limit(limit)
-	a := &Answer{conn: c, pool: p, keep: true}
+	a := &Response{conn: c, pool: p, keep: true}
 	if err := p.write(c, r, a); err != nil {
 		return nil, err
 	}
@@ -190,7 +190,7 @@
 		}
 		a.keep = false
 	}
-	return nil, fmt.Errorf("%s: %w: another request's id", c.addr, ErrBadAnswer)
+	return nil, fmt.Errorf("%s: %w: another request's id", c.addr, ErrBadResponse)
 }
 
 // readHead reads the head of the next final answer.
@@ -203,7 +203,7 @@
 		case err != nil && c.got == 0:
 			return nil, fmt.Errorf("%s: no answer: %w", c.addr, err)
 		case err != nil:
-			return nil, fmt.Errorf("%s: %w: %w", c.addr, ErrBadAnswer, err)
+			return nil, fmt.Errorf("%s: %w: %w", c.addr, ErrBadResponse, err)
 		case res.StatusCode >= http.StatusOK:
 			return res, nil
 		}
@@ -215,7 +215,7 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-func (p *Pool) write(c *conn, r *Request, a *Answer) error {
+func (p *Pool) write(c *conn, r *Request, a *Response) error {
 	head := requestHead(r)
 	if len(r.Body) <= inlineBody {
 		if _, err := c.nc.Write(append(head, r.Body...)); err != nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -67,7 +67,7 @@
 	log      *slog.Logger
 	node     *fleet.Node
 	links    *link.Pool
-	offers   *offer.Offers
+	offers   *offer.Client
 	guard    *quarantine.Guard
 	gossip   *gossip.Gossip
 	limiters *limiters
@@ -162,7 +162,7 @@
 }
 
 // Frame implements link.Handler.
-func (e *Entry) Frame(f wire.Frame) { e.offers.Frame(f) }
+func (e *Entry) Frame(f wire.Frame) { e.offers.HandleFrame(f) }
 
 // Run serves callers on ln and peers on peers until ctx is done; then it
 // finishes what is in flight, within the drain time.
--- a/entry/send.go
+++ b/entry/send.go
@@ -80,7 +80,7 @@
 // another engine may be asked, or else the final failure.
 func (e *Entry) refusal(s route.Send, o attempt.Outcome, res wire.Result) (refusal, final *verdict.Error) {
 	switch o := o.(type) {
-	case attempt.Unsent:
+	case attempt.NotSent:
 		return verdict.From(o.Err), nil
 	case attempt.Refused:
 		e.node.RefusedLoads(res.Loads)
@@ -101,11 +101,11 @@
 	clk *clock.Clock
 }
 
-// Frames implements offer.Answer.
-func (a answer) Frames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
+// WriteFrames implements offer.Answer.
+func (a answer) WriteFrames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
 
-// Begun implements offer.Answer.
-func (a answer) Begun() bool { return a.c.headSent }
+// Started implements offer.Answer.
+func (a answer) Started() bool { return a.c.headSent }
 
 // isFault tells refusals that retries could multiply from the ordinary steps
 // of finding the right engine.
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -200,16 +200,16 @@
 	return n.view.MajoritySeen()
 }
 
-// Unreachable records that a daemon could not be reached.
-func (n *Node) Unreachable(id string) {
+// DaemonUnreachable records that a daemon could not be reached.
+func (n *Node) DaemonUnreachable(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.Unreachable(id, n.clk.Now())
 	n.viewChanged()
 }
 
-// Reached records that a daemon was reached.
-func (n *Node) Reached(id string) {
+// DaemonReached records that a daemon was reached.
+func (n *Node) DaemonReached(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.Reached(id)
--- a/gate/account.go
+++ b/gate/account.go
@@ -114,14 +114,14 @@
 	}
 	cause := ""
 	switch o := o.(type) {
-	case attempt.Unsent:
+	case attempt.NotSent:
 		cause = o.Err.Error()
 	case attempt.Refused:
 		cause = o.Err.Error()
 	case attempt.Broken:
 		cause = o.Err.Error()
 	case attempt.Failed:
-		cause = "status " + strconv.Itoa(o.Answer.Status)
+		cause = "status " + strconv.Itoa(o.Response.Status)
 	}
 	g.log.Info("attempt_ended", "request", c.id, "service", c.service, "engine", e.ID, "outcome", kindOf(o), "cause", cause,
 		"again", granted.allowed(), "repeat", granted, "ran", c.ran, "allowed", c.route.Attempts, "left_ms", left)
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	req := &upstream.Request{Method: http.MethodGet, URI: healthPath, Host: e.Addr, Header: http.Header{g.wire.ExpectEngine: {e.ID}}}
-	return g.pool.Dark(ctx, e.Addr, req, since, darkLimit)
+	return g.pool.Unresponsive(ctx, e.Addr, req, since, darkLimit)
 }
 
 // passOverDark keeps the request from engines that went dark under it: what it does there
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -120,7 +120,7 @@
 	counts    counts
 	durations *duration.Estimator
 	// speeds has how fast the engines of each service read prompts. It is guarded by mu.
-	speeds map[string]*prefill.Speed
+	speeds map[string]*prefill.Estimator
 	// guard knows the requests under which engines ended, and inquiries asks each address
 	// once at a time whether its engine did.
 	guard     *quarantine.Guard
@@ -192,9 +192,9 @@
 	g := &Gate{
 		cfg: cfg, clk: cfg.Clock, log: cfg.Log, wire: d, style: style(d.RequestID),
 		reserved: nameSet(d.Reserved), internal: nameSet(d.Internal),
-		pool: upstream.NewPool(cfg.Clock, upstream.Names{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
+		pool: upstream.NewPool(cfg.Clock, upstream.HeaderNames{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
 		book: engines.NewRegistry(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
-		durations: duration.NewEstimator(), speeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
+		durations: duration.NewEstimator(), speeds: map[string]*prefill.Estimator{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
 	}
 	g.leave.estimate = g.estimate
 	metrics.GetOrCreateGauge("weldfall_table_age_seconds", g.tableAge)
@@ -254,7 +254,7 @@
 		return
 	}
 	if s, ok := t.Service(in.Service); ok && s.MaxConns > 0 {
-		g.pool.SetMost(in.Addr, max(leastConns, s.MaxConns/max(connShare, g.mostEntries)))
+		g.pool.SetMaxConns(in.Addr, max(leastConns, s.MaxConns/max(connShare, g.mostEntries)))
 	}
 }
 
--- a/gate/place.go
+++ b/gate/place.go
@@ -125,7 +125,7 @@
 		}
 		addr, sought := e.Info().Addr, e.AcceptsRequests()
 		g.mu.Unlock()
-		if !sought || g.pool.Open(addr) != nil {
+		if !sought || g.pool.Preconnect(addr) != nil {
 			continue
 		}
 		g.mu.Lock()
--- a/gate/reading.go
+++ b/gate/reading.go
@@ -21,17 +21,17 @@
 		if len(g.speeds) >= speedsMost {
 			clear(g.speeds)
 		}
-		s = &prefill.Speed{}
+		s = &prefill.Estimator{}
 		g.speeds[c.service] = s
 	}
-	s.Note(c.own, now-c.sentAt)
+	s.Observe(c.own, now-c.sentAt)
 }
 
 // readTime returns the milliseconds in which an engine of a service reads one token, 0 if
 // that is not known. The caller holds mu.
 func (g *Gate) readTime(service string) float64 {
 	if s := g.speeds[service]; s != nil {
-		return s.PerToken()
+		return s.MillisPerToken()
 	}
 	return 0
 }
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -28,13 +28,13 @@
 )
 
 // drain reads the rest of an answer, so that its connection can be kept.
-func drain(a *upstream.Answer) {
+func drain(a *upstream.Response) {
 	// An answer that cannot be read to its end costs its connection.
 	_, _ = io.CopyN(io.Discard, a, drainLimit)
 }
 
 // relay passes the answer of an engine on to the caller.
-func (g *Gate) relay(ctx context.Context, c *call, e engines.Info, a *upstream.Answer) attempt.Outcome {
+func (g *Gate) relay(ctx context.Context, c *call, e engines.Info, a *upstream.Response) attempt.Outcome {
 	x := exchange{g, c, e.Incarnation()}
 	o := c.reply.Relay(ctx, x, a.Response, a)
 	if a, ok := o.(attempt.Answered); ok && a.End == framing.Complete {
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -29,8 +29,8 @@
 	io.Reader
 	// Buffered returns how many bytes can be read at once.
 	Buffered() int
-	// Limit sets the time by which the next bytes must come.
-	Limit(d clock.Millis)
+	// SetReadTimeout sets the time by which the next bytes must come.
+	SetReadTimeout(d clock.Millis)
 }
 
 // Exchange is the exchange with an engine of which an answer is part.
@@ -91,12 +91,12 @@
 	if p.end(err); !errors.Is(err, io.EOF) {
 		return brokenOr(ctx, err)
 	}
-	h := &attempt.Held{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.End}
+	h := &attempt.BufferedResponse{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.End}
 	switch {
 	case promises(head.StatusCode):
 		return attempt.Broken{Err: fmt.Errorf("status %d without word that the request did not run", head.StatusCode)}
 	case head.StatusCode >= http.StatusInternalServerError:
-		return attempt.Failed{Answer: h}
+		return attempt.Failed{Response: h}
 	}
 	p.WriteBuffered(h)
 	return attempt.Answered{End: h.End}
@@ -118,7 +118,7 @@
 	p.begin(head.StatusCode, head.Header, p.observed.Framing, head.ContentLength)
 	// The head's limit no longer holds: nothing can be taken elsewhere now, and
 	// the caller may be slow.
-	body.Limit(x.TimeLeft())
+	body.SetReadTimeout(x.TimeLeft())
 	if err := p.write(first); err != nil {
 		return attempt.CallerGone{}
 	}
@@ -146,12 +146,12 @@
 func (p *Reply) relayStream(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
 	buf := make([]byte, bufferSize)
 	for {
-		body.Limit(x.ReadTimeout())
+		body.SetReadTimeout(x.ReadTimeout())
 		n, err := body.Read(buf)
 		if n > 0 {
 			x.OnRead()
 		}
-		whole, ok := p.split.Add(buf[:n])
+		whole, ok := p.split.Split(buf[:n])
 		if !ok {
 			err = errTooLong
 		}
@@ -164,7 +164,7 @@
 			whole = append(whole, p.split.Pending()...)
 		}
 		if err != nil {
-			p.split.Drop()
+			p.split.DropPending()
 		}
 		if (len(whole) > 0 || ended) && !p.passEvents(x, head, whole) {
 			return attempt.CallerGone{}
@@ -187,7 +187,7 @@
 	switch {
 	case !errors.Is(err, io.EOF):
 		return err
-	case p.split.Inside():
+	case p.split.MidEvent():
 		return errInsideEvent
 	case p.observed.End == framing.Closed && p.framed == framing.Chunked:
 		return ErrEndUnconfirmed
@@ -198,7 +198,7 @@
 // end records what is known of an answer by the error that ended its reading.
 func (p *Reply) end(err error) {
 	p.observed.End = p.observed.Framing.End(err)
-	if p.split.Inside() {
+	if p.split.MidEvent() {
 		p.observed.End, p.observed.PartialBytes = framing.Incomplete, len(p.split.Pending())
 	}
 }
--- a/gate/relay/relay_test.go
+++ b/gate/relay/relay_test.go
@@ -37,8 +37,8 @@
 // body is the body of an answer.
 type body struct{ io.Reader }
 
-func (body) Buffered() int      { return 0 }
-func (body) Limit(clock.Millis) {}
+func (body) Buffered() int               { return 0 }
+func (body) SetReadTimeout(clock.Millis) {}
 
 // broken returns a reader that ends with a reset.
 func broken(r io.Reader) io.Reader { return io.MultiReader(r, failing{}) }
@@ -133,8 +133,8 @@
 				}
 			case attempt.Failed:
 				got = "failed"
-				if o.Answer.End != tc.ended {
-					t.Errorf("got a failure that is %s, want %s", o.Answer.End, tc.ended)
+				if o.Response.End != tc.ended {
+					t.Errorf("got a failure that is %s, want %s", o.Response.End, tc.ended)
 				}
 			}
 			if got != tc.outcome {
--- a/gate/relay/reply.go
+++ b/gate/relay/reply.go
@@ -72,7 +72,7 @@
 func (p *Reply) Status() int { return p.status }
 
 // CanContinue reports whether another engine's answer may be the reply, or the rest of it.
-func (p *Reply) CanContinue() bool { return !p.Started() || p.streams && p.split.Numbered() }
+func (p *Reply) CanContinue() bool { return !p.Started() || p.streams && p.split.Resumable() }
 
 // MarkAborted has the reply be broken off when its handler ends.
 func (p *Reply) MarkAborted() { p.brokenOff = true }
@@ -112,7 +112,7 @@
 func (p *Reply) LongestPause() clock.Millis { return p.pause }
 
 // WriteBuffered writes an answer that was held until its end.
-func (p *Reply) WriteBuffered(h *attempt.Held) {
+func (p *Reply) WriteBuffered(h *attempt.BufferedResponse) {
 	f := framing.Length
 	if h.End == framing.Closed {
 		f = framing.UntilClose
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -54,7 +54,7 @@
 func (g *Gate) budget(service string) *serviceBudget {
 	bounds := g.bounds()
 	cfg := budget.Config{
-		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.began,
+		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.MaxArrivalDelay, StartedAt: g.began,
 		Extra: bounds.RetryExtra / float64(max(extraShare, extraLives*g.mostEntries)),
 	}
 	if b := g.budgets[service]; b != nil {
@@ -87,7 +87,7 @@
 // grantRepeat takes a repeat from the budget of a service, unless nothing of the attempt
 // that ended arrived.
 func (g *Gate) grantRepeat(service string, o attempt.Outcome, now clock.Millis) grant {
-	if _, ok := o.(attempt.Unsent); ok {
+	if _, ok := o.(attempt.NotSent); ok {
 		return grantFree
 	}
 	g.mu.Lock()
--- a/gate/send.go
+++ b/gate/send.go
@@ -32,7 +32,7 @@
 	g.countRequest(c)
 	// own is the latest failure that an engine answered itself: it is the
 	// answer when no other engine gives a better one.
-	var own *attempt.Held
+	var own *attempt.BufferedResponse
 	for {
 		if err := g.stillFits(c); err != nil {
 			return err
@@ -63,13 +63,13 @@
 			c.reply.MarkAborted()
 			return verdict.New(c.verdict(), verdict.CallerGone, "the caller left")
 		case attempt.Failed:
-			own = o.Answer
+			own = o.Response
 			if err := g.again(c, o, e.Info); err != nil {
 				c.note = err.Error()
 				c.reply.WriteBuffered(own)
 				return nil
 			}
-		case attempt.Unsent, attempt.Refused, attempt.Broken:
+		case attempt.NotSent, attempt.Refused, attempt.Broken:
 			if err := g.again(c, o, e.Info); err != nil {
 				return err
 			}
@@ -96,7 +96,7 @@
 		return g.engineRefused(e.Info, a)
 	}
 	c.ran++
-	g.guard.RecordAlive(e.Incarnation().Hash(), a.Opened())
+	g.guard.RecordAlive(e.Incarnation().Hash(), a.ConnectedAt())
 	o := g.relay(ctx, c, e.Info, a)
 	g.finish(e.Incarnation(), judge(ctx, o))
 	return o
@@ -114,7 +114,7 @@
 		if ctx.Err() != nil {
 			return attempt.CallerGone{}
 		}
-		return attempt.Unsent{Err: err}
+		return attempt.NotSent{Err: err}
 	case ctx.Err() != nil:
 		c.ran++
 		g.finish(e.Incarnation(), engines.Neutral)
@@ -127,7 +127,7 @@
 }
 
 // engineRefused judges an answer that says that the request did not run.
-func (g *Gate) engineRefused(e engines.Info, a *upstream.Answer) attempt.Outcome {
+func (g *Gate) engineRefused(e engines.Info, a *upstream.Response) attempt.Outcome {
 	drain(a)
 	g.finish(e.Incarnation(), engines.Refused)
 	return attempt.Refused{Err: fmt.Errorf("status %d", a.StatusCode)}
@@ -135,7 +135,7 @@
 
 // misdirected judges an answer of another engine that has the address, which is no
 // sign of the one that was asked.
-func (g *Gate) misdirected(e engines.Info, a *upstream.Answer) attempt.Outcome {
+func (g *Gate) misdirected(e engines.Info, a *upstream.Response) attempt.Outcome {
 	drain(a)
 	g.finish(e.Incarnation(), engines.Replaced)
 	return attempt.Refused{Err: fmt.Errorf("status %d: another engine is at %s", a.StatusCode, e.Addr)}
@@ -153,7 +153,7 @@
 		return failedUnless(ctx)
 	case attempt.Failed:
 		return failedUnless(ctx)
-	case attempt.CallerGone, attempt.Unsent, attempt.Refused:
+	case attempt.CallerGone, attempt.NotSent, attempt.Refused:
 	}
 	return engines.Neutral
 }
@@ -187,7 +187,7 @@
 	free := false
 	var final *verdict.Error
 	switch o := o.(type) {
-	case attempt.Unsent:
+	case attempt.NotSent:
 		c.unsent++
 		free = c.unsent < mostUnsent
 		final = verdict.New(c.verdict(), verdict.Unreachable, "%d engines of %s could not be reached: %w", c.unsent, c.service, o.Err)
@@ -200,7 +200,7 @@
 		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s: %w", e.ID, o.Err)
 	case attempt.Failed:
 		free = c.route.Repeatable() && c.ran < c.route.Attempts
-		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s answered %d", e.ID, o.Answer.Status)
+		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s answered %d", e.ID, o.Response.Status)
 	}
 	left := c.left(now)
 	granted := grantNone
@@ -225,7 +225,7 @@
 	switch o := o.(type) {
 	case attempt.Answered:
 		return "answered"
-	case attempt.Unsent:
+	case attempt.NotSent:
 		return "unsent"
 	case attempt.Refused:
 		return "refused"
--- a/gate/server.go
+++ b/gate/server.go
@@ -81,7 +81,7 @@
 
 // sweep drops what has outlived its use.
 func (g *Gate) sweep() {
-	g.pool.Sweep()
+	g.pool.CloseExpired()
 	g.guard.Sweep()
 	g.logRepeats()
 }
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -71,7 +71,7 @@
 		}
 	case attempt.Broken:
 		g.learnBreak(ctx, c, e, o.Err)
-	case attempt.Failed, attempt.Refused, attempt.Unsent, attempt.CallerGone:
+	case attempt.Failed, attempt.Refused, attempt.NotSent, attempt.CallerGone:
 	}
 	if c.alone {
 		g.guard.EndTrial(c.suspect())
@@ -111,7 +111,7 @@
 		return false
 	}
 	ended, _, _ := g.inquiries.Do(e.Addr, func() (any, error) {
-		return g.pool.Ended(context.WithoutCancel(ctx), e.Addr), nil
+		return g.pool.ProcessEnded(context.WithoutCancel(ctx), e.Addr), nil
 	})
 	if ended != true {
 		return false
--- a/gate/suspend.go
+++ b/gate/suspend.go
@@ -20,7 +20,7 @@
 // requests that are overdue are given up here.
 func (g *Gate) suspended(gap clock.Millis) {
 	g.log.Warn("suspended", "gap_ms", gap)
-	g.pool.ForgetIdle()
+	g.pool.CloseIdle()
 	clock.Sleep(context.Background(), readyAnswers)
 	if n := g.leave.cutOverdue(g.clk.Now()); n > 0 {
 		g.log.Warn("overdue", "requests", n, "gap_ms", gap)
