--- a/engines/address.go
+++ b/engines/address.go
@@ -7,9 +7,9 @@
 
 // settle enters an engine at its address.
 func (b *Registry) settle(e *Engine) {
-	e.rivals = slices.Clone(b.byAddr[e.info.Addr])
-	for _, o := range e.rivals {
-		o.rivals = append(o.rivals, e)
+	e.conflicts = slices.Clone(b.byAddr[e.info.Addr])
+	for _, o := range e.conflicts {
+		o.conflicts = append(o.conflicts, e)
 	}
 	b.byAddr[e.info.Addr] = append(b.byAddr[e.info.Addr], e)
 }
@@ -22,10 +22,10 @@
 	if len(left) == 0 {
 		delete(b.byAddr, e.info.Addr)
 	}
-	for _, o := range e.rivals {
-		o.rivals = slices.DeleteFunc(o.rivals, isIt)
+	for _, o := range e.conflicts {
+		o.conflicts = slices.DeleteFunc(o.conflicts, isIt)
 	}
-	e.rivals = nil
+	e.conflicts = nil
 }
 
 // AddrConflicts returns the engines that are listed with the address of another, sorted by
@@ -37,7 +37,7 @@
 		return nil
 	}
 	var out []Incarnation
-	for _, o := range e.rivals {
+	for _, o := range e.conflicts {
 		out = append(out, o.info.Incarnation())
 	}
 	slices.SortFunc(out, func(a, b Incarnation) int { return cmp.Compare(a.ID, b.ID) })
@@ -46,7 +46,7 @@
 
 // ousted reports whether another engine is known to have the address of this one.
 func (e *Engine) ousted() bool {
-	return slices.ContainsFunc(e.rivals, func(o *Engine) bool { return o.ousts(e) })
+	return slices.ContainsFunc(e.conflicts, func(o *Engine) bool { return o.ousts(e) })
 }
 
 // ousts reports whether an engine has the address of another rather than that one.
@@ -69,13 +69,13 @@
 	if e.info.StartedAt != 0 && o.info.StartedAt != 0 {
 		return e.info.StartedAt > o.info.StartedAt
 	}
-	return e.metAt > o.metAt
+	return e.firstListedAt > o.firstListedAt
 }
 
 // denied reports whether the last word at the engine's address was that it is not
 // there.
-func (e *Engine) denied() bool { return e.deniedAt > e.provedAt }
+func (e *Engine) denied() bool { return e.replacedAt > e.confirmedAt }
 
 // answeredSince reports whether an engine has answered since another was listed or
 // answered.
-func (e *Engine) answeredSince(o *Engine) bool { return e.provedAt > max(o.seenAt, o.provedAt) }
+func (e *Engine) answeredSince(o *Engine) bool { return e.confirmedAt > max(o.listedAt, o.confirmedAt) }
--- a/engines/book.go
+++ b/engines/book.go
@@ -113,11 +113,11 @@
 		b.begin(in, coldUntil, now)
 		return Joined
 	}
-	turnedCold := now >= e.warmth.toldUntil && coldUntil > now
-	e.warmth.toldUntil = coldUntil
+	turnedCold := now >= e.warmup.toldUntil && coldUntil > now
+	e.warmup.toldUntil = coldUntil
 	in.Draining = in.Draining || e.info.Draining
-	was := e.doubtful || e.unreadable
-	e.doubtful, e.unreadable = false, false
+	was := e.missing || e.invalid
+	e.missing, e.invalid = false, false
 	if e.info == in && was {
 		return Returned
 	}
@@ -149,14 +149,14 @@
 	if !ok {
 		metAt = now
 	}
-	b.add(&Engine{info: in, target: route.NewTarget(in.ID, in.Slots), seenAt: now, metAt: metAt, health: health{at: now}, warmth: warmth{toldUntil: coldUntil}})
+	b.add(&Engine{info: in, target: route.NewTarget(in.ID, in.Slots), listedAt: now, firstListedAt: metAt, health: health{at: now}, warmup: warmth{toldUntil: coldUntil}})
 }
 
 func (b *Registry) add(e *Engine) {
 	b.byID[e.info.ID] = e
 	b.byMark[e.info.Incarnation().Hash()] = e
 	e.recent = &b.recent
-	if e.told {
+	if e.hasReport {
 		b.recent.place(e)
 	}
 	b.settle(e)
@@ -186,10 +186,10 @@
 // whether that is news.
 func (b *Registry) MarkInvalid(id string) bool {
 	e, ok := b.byID[id]
-	if !ok || e.unreadable {
+	if !ok || e.invalid {
 		return false
 	}
-	e.unreadable = true
+	e.invalid = true
 	return true
 }
 
@@ -198,10 +198,10 @@
 // news.
 func (b *Registry) MarkMissing(id string) bool {
 	e, ok := b.byID[id]
-	if !ok || e.doubtful {
+	if !ok || e.missing {
 		return false
 	}
-	e.doubtful = true
+	e.missing = true
 	return true
 }
 
@@ -213,7 +213,7 @@
 		return Info{}, false
 	}
 	b.drop(e)
-	b.met.Add(e.info.Incarnation(), e.metAt)
+	b.met.Add(e.info.Incarnation(), e.firstListedAt)
 	if !e.info.Draining {
 		b.crashed.Add(e.info.Incarnation(), struct{}{})
 	}
@@ -229,7 +229,7 @@
 func (b *Registry) Forget(id string) {
 	if e, ok := b.byID[id]; ok {
 		b.drop(e)
-		b.met.Add(e.info.Incarnation(), e.metAt)
+		b.met.Add(e.info.Incarnation(), e.firstListedAt)
 	}
 	for _, lives := range []*simplelru.LRU[Incarnation, struct{}]{b.ended, b.crashed} {
 		for _, n := range lives.Keys() {
@@ -251,8 +251,8 @@
 // that are on it were there before, and did not just join.
 func (b *Registry) MarkSynced(now clock.Millis) {
 	for _, e := range b.byID {
-		e.seenAt = now - youth
-		e.metAt = e.seenAt
+		e.listedAt = now - youth
+		e.firstListedAt = e.listedAt
 	}
 }
 
--- a/engines/book_test.go
+++ b/engines/book_test.go
@@ -27,7 +27,7 @@
 }
 
 func query(keys ...uint64) engines.Query {
-	return engines.Query{Service: service, Keys: keys, Tokens: 5000, Bound: 1.75, Slack: 3, Silence: 700}
+	return engines.Query{Service: service, Keys: keys, Tokens: 5000, Bound: 1.75, Slack: 3, MaxSilence: 700}
 }
 
 // sameHome returns two chats that an empty book of four engines sends to the
@@ -166,14 +166,14 @@
 		b := newBook(4)
 		first, _ := sameHome(t)
 		q := query(first)
-		q.Silence *= scale
+		q.MaxSilence *= scale
 		home := choose(t, b, q, 0).Engine
 		home.BeginRequest(100)
 		if got := choose(t, b, q, 100+400*scale); got.Engine != home {
-			t.Errorf("got another engine after %d ms of silence where %d are allowed, want the home", 400*scale, q.Silence)
+			t.Errorf("got another engine after %d ms of silence where %d are allowed, want the home", 400*scale, q.MaxSilence)
 		}
 		if got := choose(t, b, q, 100+900*scale); got.Engine == home {
-			t.Errorf("got the engine that is silent for %d ms where %d are allowed, want another", 900*scale, q.Silence)
+			t.Errorf("got the engine that is silent for %d ms where %d are allowed, want another", 900*scale, q.MaxSilence)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	b.Put(info(1), 0)
 	got := map[string]int{}
 	for range 12 {
-		c := choose(t, b, engines.Query{Service: service, Silence: 700}, 0)
+		c := choose(t, b, engines.Query{Service: service, MaxSilence: 700}, 0)
 		c.Engine.BeginRequest(0)
 		got[c.Engine.Info().ID]++
 	}
--- a/engines/choose.go
+++ b/engines/choose.go
@@ -32,9 +32,9 @@
 	// 1, and Slack is added to it.
 	Bound float64
 	Slack float64
-	// Silence is how long an engine may leave requests without a sign before it
+	// MaxSilence is how long an engine may leave requests without a sign before it
 	// is passed over.
-	Silence clock.Millis
+	MaxSilence clock.Millis
 	// Warmup is what holds for engines that are cold.
 	Warmup Warmup
 	// Isolated is true for a request that may end its engine: it goes where the fewest
@@ -156,7 +156,7 @@
 	rate := meanRate(live, now)
 	good := b.scratch.good[:0]
 	for _, e := range live {
-		if !e.suspect(rate, q.Silence, now) {
+		if !e.suspect(rate, q.MaxSilence, now) {
 			good = append(good, e)
 		}
 	}
@@ -184,11 +184,11 @@
 
 // AcceptsRequests reports whether an engine may be sent anything new by what the list says
 // of it and of its address.
-func (e *Engine) AcceptsRequests() bool { return !e.info.Draining && !e.unreadable && !e.ousted() }
+func (e *Engine) AcceptsRequests() bool { return !e.info.Draining && !e.invalid && !e.ousted() }
 
 // suspect reports whether new requests had better go elsewhere.
 func (e *Engine) suspect(rate float64, silence, now clock.Millis) bool {
-	if e.doubtful || now < e.reservedUntil || e.health.held(now) || e.silence(now) > silence {
+	if e.missing || now < e.reservedUntil || e.health.held(now) || e.silence(now) > silence {
 		return true
 	}
 	return e.health.rate(now) > rate+suspectRate
@@ -218,8 +218,8 @@
 	sum, n := 0.0, 0
 	for i, e := range in {
 		out[i] = e.weight(now)
-		if e.told && now-e.othersAt < 4*othersHalfLife {
-			sum += e.others
+		if e.hasReport && now-e.reportedAt < 4*othersHalfLife {
+			sum += e.otherRequests
 			n++
 		}
 	}
--- a/engines/cold.go
+++ b/engines/cold.go
@@ -41,8 +41,8 @@
 	if c.Duration <= 0 {
 		return false
 	}
-	since := max(e.seenAt, e.backAt, e.warmth.reachedAt)
-	return now < e.warmth.toldUntil || (since > 0 && now-since < c.Duration)
+	since := max(e.listedAt, e.reopenedAt, e.warmup.reachedAt)
+	return now < e.warmup.toldUntil || (since > 0 && now-since < c.Duration)
 }
 
 // full reports whether this entry has sent a cold engine its share.
@@ -50,8 +50,8 @@
 	if !e.cold(c, now) {
 		return false
 	}
-	e.warmth.trim(now)
-	return len(e.warmth.sent) >= c.MaxRequests(e.info.ID)
+	e.warmup.trim(now)
+	return len(e.warmup.sent) >= c.MaxRequests(e.info.ID)
 }
 
 func (w *warmth) trim(now clock.Millis) {
--- a/engines/engine.go
+++ b/engines/engine.go
@@ -62,40 +62,40 @@
 	target route.Target
 	// inflight counts our requests at the engine; it is never negative.
 	inflight int
-	// all is how many requests the engine had at othersAt.
-	all int
-	// others is how many requests of other entries the engine had at othersAt,
+	// reportedRequests is how many requests the engine had at othersAt.
+	reportedRequests int
+	// otherRequests is how many requests of other entries the engine had at othersAt,
 	// never negative.
-	others   float64
-	othersAt clock.Millis
-	// told is true once the engine has said its load.
-	told bool
-	// heardAt is when the engine last sent anything.
-	heardAt clock.Millis
-	// waitingSince is when the oldest silence began: the time of the first
+	otherRequests float64
+	reportedAt    clock.Millis
+	// hasReport is true once the engine has said its load.
+	hasReport bool
+	// lastActiveAt is when the engine last sent anything.
+	lastActiveAt clock.Millis
+	// silentSince is when the oldest silence began: the time of the first
 	// request that was sent after the engine was last heard. Zero if nothing
 	// is awaited.
-	waitingSince clock.Millis
-	health       health
-	// doubtful is true while the list lacks the engine and it may come back.
-	doubtful bool
-	// unreadable is true while its entry on the list cannot be used. What is
+	silentSince clock.Millis
+	health      health
+	// missing is true while the list lacks the engine and it may come back.
+	missing bool
+	// invalid is true while its entry on the list cannot be used. What is
 	// believed of it is kept for its return.
-	unreadable bool
-	// rivals are the other engines that are listed with its address.
-	rivals []*Engine
-	// provedAt is when an answer last came under its id, deniedAt when another
+	invalid bool
+	// conflicts are the other engines that are listed with its address.
+	conflicts []*Engine
+	// confirmedAt is when an answer last came under its id, replacedAt when another
 	// engine last answered at its address; zero if none did.
-	provedAt, deniedAt clock.Millis
-	// seenAt is when the engine was listed here, metAt when it was for the first time
+	confirmedAt, replacedAt clock.Millis
+	// listedAt is when the engine was listed here, firstListedAt when it was for the first time
 	// if it was off the list meanwhile.
-	seenAt, metAt clock.Millis
-	// backAt is when its data hall was last taken back from an evacuation, zero if
+	listedAt, firstListedAt clock.Millis
+	// reopenedAt is when its data hall was last taken back from an evacuation, zero if
 	// it never was.
-	backAt clock.Millis
-	warmth warmth
-	// askedAt is when the engine was last asked whether it is healthy, zero if it never was.
-	askedAt clock.Millis
+	reopenedAt clock.Millis
+	warmup     warmth
+	// checkedAt is when the engine was last asked whether it is healthy, zero if it never was.
+	checkedAt clock.Millis
 	// reservedUntil is until when it runs a request alone that may end it.
 	reservedUntil clock.Millis
 	// recent has the engine by its word, between a newer and an older one; nil while it
@@ -116,52 +116,52 @@
 
 // weight is what the word of an engine about its load counts against the mean of all.
 func (e *Engine) weight(now clock.Millis) float64 {
-	if !e.told {
+	if !e.hasReport {
 		return 0
 	}
-	return othersFading.left(now - e.othersAt)
+	return othersFading.left(now - e.reportedAt)
 }
 
 // load estimates the requests at the engine. mean is the mean of what other
 // entries have at an engine, weight that of its own word.
 func (e *Engine) load(mean, weight float64) float64 {
-	return float64(e.inflight) + mean + (e.others-mean)*weight
+	return float64(e.inflight) + mean + (e.otherRequests-mean)*weight
 }
 
 // silence returns how long the engine has left requests without any sign.
 func (e *Engine) silence(now clock.Millis) clock.Millis {
-	if e.waitingSince == 0 {
+	if e.silentSince == 0 {
 		return 0
 	}
-	return now - e.waitingSince
+	return now - e.silentSince
 }
 
 // BeginRequest counts a request that is about to be sent.
 func (e *Engine) BeginRequest(now clock.Millis) {
 	e.inflight++
-	e.warmth.note(now)
-	if e.waitingSince == 0 {
-		e.waitingSince = now
+	e.warmup.note(now)
+	if e.silentSince == 0 {
+		e.silentSince = now
 	}
 }
 
 // RecordActivity records that the engine sent something.
 func (e *Engine) RecordActivity(now clock.Millis) {
-	e.heardAt = now
-	e.provedAt = now
-	e.waitingSince = now
+	e.lastActiveAt = now
+	e.confirmedAt = now
+	e.silentSince = now
 }
 
 // RecordLoad records the load that an engine had at the given time, which counts
 // our own requests too. An older word than the latest is passed over.
 func (e *Engine) RecordLoad(l Load, at clock.Millis) {
-	if e.told && at <= e.othersAt {
+	if e.hasReport && at <= e.reportedAt {
 		return
 	}
-	e.all = l.Running + l.Waiting
-	e.others = max(0, float64(e.all-e.inflight))
-	e.othersAt = at
-	e.told = true
+	e.reportedRequests = l.Running + l.Waiting
+	e.otherRequests = max(0, float64(e.reportedRequests-e.inflight))
+	e.reportedAt = at
+	e.hasReport = true
 	if e.recent != nil {
 		e.recent.place(e)
 	}
@@ -172,10 +172,10 @@
 func (e *Engine) EndRequest(o Outcome, now clock.Millis) TrustChange {
 	e.inflight = max(0, e.inflight-1)
 	if e.inflight == 0 {
-		e.waitingSince = 0
+		e.silentSince = 0
 	}
 	if o == Replaced {
-		e.deniedAt = now
+		e.replacedAt = now
 	}
 	return e.health.note(o, now)
 }
@@ -183,7 +183,7 @@
 // MarkReached records that the engine took a connection again, and returns what
 // that changes in the trust in it.
 func (e *Engine) MarkReached(now clock.Millis) TrustChange {
-	e.warmth.reachedAt = now
+	e.warmup.reachedAt = now
 	return e.health.reached()
 }
 
@@ -193,7 +193,7 @@
 // SilentSince reports whether the engine gave no sign since a time, to this entry or as
 // others told, though as far as is known it has a slot free.
 func (e *Engine) SilentSince(at, now clock.Millis) bool {
-	if e.heardAt >= at || (e.told && e.othersAt >= at) {
+	if e.lastActiveAt >= at || (e.hasReport && e.reportedAt >= at) {
 		return false
 	}
 	return e.load(0, e.weight(now)) <= float64(e.info.Slots)
@@ -205,15 +205,15 @@
 // AllowHealthCheck reports whether the engine may be asked whether it is healthy, and takes it that
 // it is.
 func (e *Engine) AllowHealthCheck(now clock.Millis) bool {
-	if e.askedAt != 0 && now-e.askedAt < askPeriod {
+	if e.checkedAt != 0 && now-e.checkedAt < askPeriod {
 		return false
 	}
-	e.askedAt = now
+	e.checkedAt = now
 	return true
 }
 
-// Unreached reports whether the engine could not be reached, and was not since.
-func (e *Engine) Unreached() bool { return e.health.unreached }
+// IsUnreachable reports whether the engine could not be reached, and was not since.
+func (e *Engine) IsUnreachable() bool { return e.health.unreached }
 
 // Reserve keeps others from an engine, until the given time, that runs a request which
 // may end it. A time that has passed gives it free.
--- a/engines/evacuate.go
+++ b/engines/evacuate.go
@@ -17,7 +17,7 @@
 	}
 	for _, e := range b.byID {
 		if _, was := before[e.info.Hall]; was && !b.isEvacuated(e) {
-			e.backAt = now
+			e.reopenedAt = now
 		}
 	}
 }
--- a/engines/export_test.go
+++ b/engines/export_test.go
@@ -22,8 +22,8 @@
 	}
 	sum, n := 0.0, 0
 	for _, e := range usable {
-		if e.told && now-e.othersAt < 4*othersHalfLife {
-			sum += e.others
+		if e.hasReport && now-e.reportedAt < 4*othersHalfLife {
+			sum += e.otherRequests
 			n++
 		}
 	}
@@ -32,10 +32,10 @@
 		others = sum / float64(n)
 	}
 	load := func(e *Engine) float64 {
-		if !e.told {
+		if !e.hasReport {
 			return float64(e.inflight) + others
 		}
-		return float64(e.inflight) + others + (e.others-others)*othersFading.left(now-e.othersAt)
+		return float64(e.inflight) + others + (e.otherRequests-others)*othersFading.left(now-e.reportedAt)
 	}
 	c := Choice{}
 	for _, e := range usable {
@@ -78,7 +78,7 @@
 			return nil
 		}
 		for _, n := range b.memory.holders(q.Keys[i]) {
-			if e := b.Find(n); e != nil && e != chosen && e.info.Service == q.Service && b.sound(e, q.Silence, now) {
+			if e := b.Find(n); e != nil && e != chosen && e.info.Service == q.Service && b.sound(e, q.MaxSilence, now) {
 				return e
 			}
 		}
@@ -88,7 +88,7 @@
 		order := sortedFor(q.Keys[i], p.engines)
 		at := slices.Index(order, chosen)
 		for _, e := range order[:at] {
-			if b.sound(e, q.Silence, now) {
+			if b.sound(e, q.MaxSilence, now) {
 				return e
 			}
 		}
@@ -96,7 +96,7 @@
 			continue
 		}
 		for _, e := range order[at+1:] {
-			if !e.young(now) && b.sound(e, q.Silence, now) {
+			if !e.young(now) && b.sound(e, q.MaxSilence, now) {
 				return e
 			}
 		}
--- a/engines/reading_test.go
+++ b/engines/reading_test.go
@@ -151,7 +151,7 @@
 	for seed := range uint64(3) {
 		p := newPool(seed, entries, n)
 		q := query()
-		q.Silence = 5000
+		q.MaxSilence = 5000
 		q.Bound, q.Slack = engines.AffinityBound(loadFactor)
 		for at := 0.0; at < day; at += p.rng.ExpFloat64() * 1000 / perSecond {
 			p.at(clock.Millis(at), func() {
--- a/engines/recent.go
+++ b/engines/recent.go
@@ -20,7 +20,7 @@
 	r.take(e)
 	var before *Engine
 	at := r.first
-	for at != nil && at.othersAt > e.othersAt {
+	for at != nil && at.reportedAt > e.reportedAt {
 		before, at = at, at.older
 	}
 	e.newer, e.older = before, at
@@ -63,12 +63,12 @@
 	}
 	var out []ReportedLoad
 	for e := b.recent.first; e != nil; e = e.older {
-		age := now - e.othersAt
+		age := now - e.reportedAt
 		// The last of one age are all looked at.
 		if age > limit || (len(out) >= n && age > out[len(out)-1].Age) {
 			break
 		}
-		out = append(out, ReportedLoad{Incarnation: e.info.Incarnation(), Requests: e.all, Age: age})
+		out = append(out, ReportedLoad{Incarnation: e.info.Incarnation(), Requests: e.reportedRequests, Age: age})
 	}
 	slices.SortFunc(out, func(a, b ReportedLoad) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID)) })
 	return out[:min(n, len(out))]
--- a/engines/source.go
+++ b/engines/source.go
@@ -23,7 +23,7 @@
 			return nil
 		}
 		for _, n := range b.memory.holders(q.Keys[i]) {
-			if e := b.Find(n); e != nil && e != chosen && e.info.Service == q.Service && b.sound(e, q.Silence, now) {
+			if e := b.Find(n); e != nil && e != chosen && e.info.Service == q.Service && b.sound(e, q.MaxSilence, now) {
 				return e
 			}
 		}
@@ -46,7 +46,7 @@
 		if e == chosen {
 			break
 		}
-		if b.sound(e, q.Silence, now) {
+		if b.sound(e, q.MaxSilence, now) {
 			return e
 		}
 	}
@@ -54,7 +54,7 @@
 		return nil
 	}
 	for i++; order.has(i); i++ {
-		if e := order.in[order.at(i)]; !e.young(now) && b.sound(e, q.Silence, now) {
+		if e := order.in[order.at(i)]; !e.young(now) && b.sound(e, q.MaxSilence, now) {
 			return e
 		}
 	}
@@ -73,23 +73,23 @@
 
 // young reports whether an engine lacks what its place in the rankings would make
 // it keep.
-func (e *Engine) young(now clock.Millis) bool { return now-e.seenAt < youth || e.returned(now) }
+func (e *Engine) young(now clock.Millis) bool { return now-e.listedAt < youth || e.returned(now) }
 
 // returned reports whether an engine's data hall was taken back lately.
-func (e *Engine) returned(now clock.Millis) bool { return e.backAt > 0 && now-e.backAt < youth }
+func (e *Engine) returned(now clock.Millis) bool { return e.reopenedAt > 0 && now-e.reopenedAt < youth }
 
 // sound reports whether an engine answers, as far as is known.
 func (b *Registry) sound(e *Engine, silence, now clock.Millis) bool {
-	if e.unreadable || e.ousted() || e.health.held(now) || e.silence(now) > silence {
+	if e.invalid || e.ousted() || e.health.held(now) || e.silence(now) > silence {
 		return false
 	}
-	if since, ok := b.evacuated[e.info.Hall]; ok && e.seenAt > since {
+	if since, ok := b.evacuated[e.info.Hall]; ok && e.listedAt > since {
 		// It came when nothing was sent there any more.
 		return false
 	}
-	heard := e.heardAt
-	if e.told {
-		heard = max(heard, e.othersAt)
+	heard := e.lastActiveAt
+	if e.hasReport {
+		heard = max(heard, e.reportedAt)
 	}
 	return heard > 0 && (now-heard < soundFor || b.vouched(e, now))
 }
@@ -99,5 +99,5 @@
 // chats that it had return, unless it started since and had none.
 func (b *Registry) vouched(e *Engine, now clock.Millis) bool {
 	since, ok := b.evacuated[e.info.Hall]
-	return ok && now-since < youth && e.seenAt <= since
+	return ok && now-since < youth && e.listedAt <= since
 }
--- a/gate/place.go
+++ b/gate/place.go
@@ -25,7 +25,7 @@
 	cost := engines.Cost{Prefill: g.readTime(c.service), Transfer: service.MoveTime}
 	ch, ok := g.book.Choose(engines.Query{
 		Service: c.service, Keys: c.keys, Tokens: c.tokens, Cost: cost, Bound: bound, Slack: slack,
-		Silence: silence(c.route), Warmup: g.cold(c), Tried: c.tried, Isolated: alone, Random: random(),
+		MaxSilence: silence(c.route), Warmup: g.cold(c), Tried: c.tried, Isolated: alone, Random: random(),
 	}, now)
 	if !ok && alone {
 		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines ended while they ran this request, and no engine of %s can be spared to try it", c.service).WithRetryAfter(retrySoon)
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -145,7 +145,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.book.ByHash(life)
-	return e != nil && e.Unreached()
+	return e != nil && e.IsUnreachable()
 }
 
 // ReceiveSuspects implements peers.Facts.
--- a/measure/replay/alone.go
+++ b/measure/replay/alone.go
@@ -84,7 +84,7 @@
 	a.prepare(p)
 	b := a.books[entry]
 	bound, slack := engines.AffinityBound(p.cfg.Bound)
-	q := engines.Query{Service: poolName, Keys: []uint64{p.key(t)}, Tokens: t.Prompt, Bound: bound, Slack: slack, Silence: muchSilence, Random: a.rnd.Float64()}
+	q := engines.Query{Service: poolName, Keys: []uint64{p.key(t)}, Tokens: t.Prompt, Bound: bound, Slack: slack, MaxSilence: muchSilence, Random: a.rnd.Float64()}
 	for len(q.Tried) < aloneTries {
 		c, ok := b.Choose(q, p.now)
 		if !ok {
