--- a/engines/address.go
+++ b/engines/address.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// settle enters an engine at its address.
-func (b *Registry) settle(e *Engine) {
-	e.conflicts = slices.Clone(b.byAddr[e.info.Addr])
+// indexAddr adds an engine to the address index and links it to the other engines
+// listed with the same address.
+func (r *Registry) indexAddr(e *Engine) {
+	e.conflicts = slices.Clone(r.byAddr[e.info.Addr])
 	for _, o := range e.conflicts {
 		o.conflicts = append(o.conflicts, e)
 	}
-	b.byAddr[e.info.Addr] = append(b.byAddr[e.info.Addr], e)
+	r.byAddr[e.info.Addr] = append(r.byAddr[e.info.Addr], e)
 }
 
-// leave takes an engine from its address.
-func (b *Registry) leave(e *Engine) {
-	isIt := func(x *Engine) bool { return x == e }
-	left := slices.DeleteFunc(b.byAddr[e.info.Addr], isIt)
-	b.byAddr[e.info.Addr] = left
-	if len(left) == 0 {
-		delete(b.byAddr, e.info.Addr)
+// unindexAddr undoes indexAddr.
+func (r *Registry) unindexAddr(e *Engine) {
+	same := func(x *Engine) bool { return x == e }
+	rest := slices.DeleteFunc(r.byAddr[e.info.Addr], same)
+	r.byAddr[e.info.Addr] = rest
+	if len(rest) == 0 {
+		delete(r.byAddr, e.info.Addr)
 	}
 	for _, o := range e.conflicts {
-		o.conflicts = slices.DeleteFunc(o.conflicts, isIt)
+		o.conflicts = slices.DeleteFunc(o.conflicts, same)
 	}
 	e.conflicts = nil
 }
 
-// AddrConflicts returns the engines that are listed with the address of another, sorted by
-// id. Two are when an engine ended without a word and another got its address, or it
-// started again under another id, until the entry of the first lapses.
-func (b *Registry) AddrConflicts(id string) []Incarnation {
-	e := b.byID[id]
+// AddrConflicts returns the other engines listed with the address of the given one,
+// sorted by ID. Two engines share an address when one crashed and another got its
+// address, or when it restarted under another ID, until the first entry expires.
+func (r *Registry) AddrConflicts(id string) []Incarnation {
+	e := r.byID[id]
 	if e == nil {
 		return nil
 	}
@@ -44,27 +45,28 @@
 	return out
 }
 
-// ousted reports whether another engine is known to have the address of this one.
-func (e *Engine) ousted() bool {
-	return slices.ContainsFunc(e.conflicts, func(o *Engine) bool { return o.ousts(e) })
+// displaced reports whether another engine is known to own the address of e.
+func (e *Engine) displaced() bool {
+	return slices.ContainsFunc(e.conflicts, func(o *Engine) bool { return o.displaces(e) })
 }
 
-// ousts reports whether an engine has the address of another rather than that one.
-// Who answers there decides; until one of them has, the one that started later.
-func (e *Engine) ousts(o *Engine) bool {
+// displaces reports whether e, rather than o, owns the address that both are listed
+// with: the one that responds there, or the one that started later as long as neither
+// has responded.
+func (e *Engine) displaces(o *Engine) bool {
 	switch {
-	case e.denied():
+	case e.replaced():
 		return false
-	case o.denied(), e.answeredSince(o):
+	case o.replaced(), e.respondedSince(o):
 		return true
-	case o.answeredSince(e):
+	case o.respondedSince(e):
 		return false
 	}
 	return e.startedAfter(o)
 }
 
-// startedAfter reports whether an engine started after another, by what they tell or
-// else by when they were first listed.
+// startedAfter reports whether e started after o. It compares the start times, or the
+// times of the first listing if a start time is not known.
 func (e *Engine) startedAfter(o *Engine) bool {
 	if e.info.StartedAt != 0 && o.info.StartedAt != 0 {
 		return e.info.StartedAt > o.info.StartedAt
@@ -72,10 +74,11 @@
 	return e.firstListedAt > o.firstListedAt
 }
 
-// denied reports whether the last word at the engine's address was that it is not
-// there.
-func (e *Engine) denied() bool { return e.replacedAt > e.confirmedAt }
+// replaced reports whether the latest response at the address of e came from another
+// engine.
+func (e *Engine) replaced() bool { return e.replacedAt > e.confirmedAt }
 
-// answeredSince reports whether an engine has answered since another was listed or
-// answered.
-func (e *Engine) answeredSince(o *Engine) bool { return e.confirmedAt > max(o.listedAt, o.confirmedAt) }
+// respondedSince reports whether e has responded after o was listed and last responded.
+func (e *Engine) respondedSince(o *Engine) bool {
+	return e.confirmedAt > max(o.listedAt, o.confirmedAt)
+}
--- a/engines/book.go
+++ b/engines/book.go
@@ -13,49 +13,48 @@
 // Registry holds the engines of all services.
 type Registry struct {
 	byID map[string]*Engine
-	// byMark has them by the marks of their lives.
-	byMark    map[uint32]*Engine
+	// byHash is keyed by the hash of the engine's incarnation.
+	byHash    map[uint32]*Engine
 	byService map[string]*pool
-	// byAddr has the engines that are listed with an address, mostly one.
-	byAddr map[string][]*Engine
-	memory *memory
-	// ended are the lives of engines that later ones have followed, the latest of
-	// them: word of one that comes late is about nobody.
+	// byAddr holds the engines listed with an address, usually one.
+	byAddr   map[string][]*Engine
+	prefixes *prefixCache
+	// ended holds the latest incarnations that were superseded or removed after
+	// draining. A late entry for one of them is ignored.
 	ended *simplelru.LRU[Incarnation, struct{}]
-	// met has when lives that are no longer listed were first listed, the latest of
-	// them.
-	met *simplelru.LRU[Incarnation, clock.Millis]
-	// crashed are the lives that ended without a word that they leave, the latest of
-	// them.
+	// firstListed maps the latest incarnations that are no longer listed to the time
+	// of their first listing.
+	firstListed *simplelru.LRU[Incarnation, clock.Millis]
+	// crashed holds the latest incarnations that ended without draining.
 	crashed *simplelru.LRU[Incarnation, struct{}]
-	// evacuated are the data halls whose engines take nothing new, with the time
-	// since when.
+	// evacuated maps each data hall under evacuation, whose engines get no new
+	// requests, to the start of the evacuation.
 	evacuated map[string]clock.Millis
-	recent    recent
+	reports   reportList
 	scratch   scratch
 }
 
 // pool is the engines of one service.
 type pool struct {
-	// engines are the listed ones, sorted by id, leaving ones too.
+	// engines holds all listed engines, draining ones included, sorted by ID.
 	engines []*Engine
 }
 
-// livesMost bounds the lives that are remembered after they ended or left the list,
-// of some 150 bytes each: a fleet of 10,000 engines that all start again within
-// minutes outruns it, and word of a start is late by seconds.
-const livesMost = 4096
+// maxIncarnations bounds each record of past incarnations, at about 150 bytes an entry.
+// A fleet of 10,000 engines that restarts within minutes exceeds it, but entries arrive
+// only seconds late.
+const maxIncarnations = 4096
 
-// NewRegistry returns a book without engines.
+// NewRegistry returns a registry without engines.
 func NewRegistry() *Registry {
-	// NewLRU fails only for sizes that are not positive.
-	ended, _ := simplelru.NewLRU[Incarnation, struct{}](livesMost, nil)
-	met, _ := simplelru.NewLRU[Incarnation, clock.Millis](livesMost, nil)
-	crashed, _ := simplelru.NewLRU[Incarnation, struct{}](livesMost, nil)
-	return &Registry{byID: map[string]*Engine{}, byMark: map[uint32]*Engine{}, byService: map[string]*pool{}, byAddr: map[string][]*Engine{}, memory: newMemory(), ended: ended, met: met, crashed: crashed}
+	// NewLRU fails only if the size is not positive.
+	ended, _ := simplelru.NewLRU[Incarnation, struct{}](maxIncarnations, nil)
+	firstListed, _ := simplelru.NewLRU[Incarnation, clock.Millis](maxIncarnations, nil)
+	crashed, _ := simplelru.NewLRU[Incarnation, struct{}](maxIncarnations, nil)
+	return &Registry{byID: map[string]*Engine{}, byHash: map[uint32]*Engine{}, byService: map[string]*pool{}, byAddr: map[string][]*Engine{}, prefixes: newPrefixCache(), ended: ended, firstListed: firstListed, crashed: crashed}
 }
 
-// Change is what a new word about an engine came to.
+// Change is the effect of an update on the registry.
 type Change string
 
 const (
@@ -63,129 +62,131 @@
 	Joined       Change = "joined"
 	DrainStarted Change = "leaving"
 	Changed      Change = "changed"
-	// Missing engines were lost by the list and may come back; Back ones did.
-	Missing  Change = "missing"
+	// Missing means that the listing lacks the engine, which may come back.
+	Missing Change = "missing"
+	// Returned means that a missing or invalid engine has a valid entry again.
 	Returned Change = "back"
 	Removed  Change = "gone"
-	// WarmupStarted engines bear few requests for a while.
+	// WarmupStarted means that the engine handles only few requests for a while.
 	WarmupStarted Change = "cold"
-	// Restarted engines began a new life under the id that they had.
+	// Restarted means that a new incarnation has the ID of an earlier one.
 	Restarted Change = "restarted"
-	// Forgotten engines are those of which others told what is not so.
+	// Forgotten means that the engine was dropped because a peer reported it wrongly.
 	Forgotten Change = "forgotten"
-	// Stale is word of a life that a later one has followed. It changes nothing.
+	// Stale means that the update was ignored: it is for an incarnation that has ended.
 	Stale Change = "late"
-	// Invalid engines have an entry that cannot be used; Back ones have a good
-	// one again.
+	// Invalid means that the engine's entry cannot be used.
 	Invalid Change = "unreadable"
 )
 
-// Put records an engine as listed. An engine that was leaving stays so for the rest
-// of its life; a later one begins with nothing that was believed of it before.
+// Put records the listing entry of an engine. Draining lasts for the rest of an
+// incarnation; a later incarnation starts with no state of the earlier one.
 //
-// Which of two lives is the later one follows from the order in which the store took
-// their words, not from the time of their starts: the clock of a machine may be set
-// back. Only a life that was seen to be followed by another is known to have ended.
-func (b *Registry) Put(in Info, now clock.Millis) Change {
+// The order in which the store received the entries decides which incarnation is the
+// later one. Start times don't, because the clock of a machine may be set back. An
+// incarnation counts as ended only if another was seen to follow it.
+func (r *Registry) Put(in Info, now clock.Millis) Change {
 	in.Slots = max(1, in.Slots)
-	coldUntil := now + in.WarmupLeft
+	warmupUntil := now + in.WarmupLeft
 	in.WarmupLeft = 0
-	e, ok := b.byID[in.ID]
+	e, ok := r.byID[in.ID]
 	if ok && in.StartedAt == 0 {
-		// An entry that does not tell is about the life that is known.
+		// An entry without a start time is for the known incarnation.
 		in.StartedAt = e.info.StartedAt
 	}
-	if b.ended.Contains(in.Incarnation()) {
+	if r.ended.Contains(in.Incarnation()) {
 		return Stale
 	}
 	if ok && in.StartedAt != e.info.StartedAt {
-		b.drop(e)
+		r.unregister(e)
 		if e.info.StartedAt != 0 {
-			b.ended.Add(e.info.Incarnation(), struct{}{})
+			r.ended.Add(e.info.Incarnation(), struct{}{})
 		}
 		if !e.info.Draining {
-			b.crashed.Add(e.info.Incarnation(), struct{}{})
+			r.crashed.Add(e.info.Incarnation(), struct{}{})
 		}
-		b.begin(in, coldUntil, now)
+		r.create(in, warmupUntil, now)
 		return Restarted
 	}
 	if !ok {
-		b.begin(in, coldUntil, now)
+		r.create(in, warmupUntil, now)
 		return Joined
 	}
-	turnedCold := now >= e.warmup.toldUntil && coldUntil > now
-	e.warmup.toldUntil = coldUntil
+	warmupStarted := now >= e.warmup.listedUntil && warmupUntil > now
+	e.warmup.listedUntil = warmupUntil
 	in.Draining = in.Draining || e.info.Draining
-	was := e.missing || e.invalid
+	returned := e.missing || e.invalid
 	e.missing, e.invalid = false, false
-	if e.info == in && was {
+	if e.info == in && returned {
 		return Returned
 	}
-	if e.info == in && turnedCold {
+	if e.info == in && warmupStarted {
 		return WarmupStarted
 	}
 	if e.info == in {
 		return Same
 	}
-	left := in.Draining && !e.info.Draining
+	drainStarted := in.Draining && !e.info.Draining
 	moved := in.Service != e.info.Service || in.Addr != e.info.Addr
 	if moved {
-		b.drop(e)
+		r.unregister(e)
 	}
 	e.info, e.target = in, route.NewTarget(in.ID, in.Slots)
 	if moved {
-		b.add(e)
+		r.register(e)
 	}
-	if left {
+	if drainStarted {
 		return DrainStarted
 	}
 	return Changed
 }
 
-// begin adds an engine of which nothing is believed yet.
-func (b *Registry) begin(in Info, coldUntil, now clock.Millis) {
-	b.crashed.Remove(in.Incarnation())
-	metAt, ok := b.met.Get(in.Incarnation())
+// create adds an engine without any earlier state.
+func (r *Registry) create(in Info, warmupUntil, now clock.Millis) {
+	r.crashed.Remove(in.Incarnation())
+	firstListedAt, ok := r.firstListed.Get(in.Incarnation())
 	if !ok {
-		metAt = now
+		firstListedAt = now
 	}
-	b.add(&Engine{info: in, target: route.NewTarget(in.ID, in.Slots), listedAt: now, firstListedAt: metAt, health: health{at: now}, warmup: warmth{toldUntil: coldUntil}})
+	r.register(&Engine{info: in, target: route.NewTarget(in.ID, in.Slots), listedAt: now, firstListedAt: firstListedAt, health: health{updatedAt: now}, warmup: warmupState{listedUntil: warmupUntil}})
 }
 
-func (b *Registry) add(e *Engine) {
-	b.byID[e.info.ID] = e
-	b.byMark[e.info.Incarnation().Hash()] = e
-	e.recent = &b.recent
+// register adds an engine to all indexes.
+func (r *Registry) register(e *Engine) {
+	r.byID[e.info.ID] = e
+	r.byHash[e.info.Incarnation().Hash()] = e
+	e.reports = &r.reports
 	if e.hasReport {
-		b.recent.place(e)
+		r.reports.insert(e)
 	}
-	b.settle(e)
-	p := b.byService[e.info.Service]
+	r.indexAddr(e)
+	p := r.byService[e.info.Service]
 	if p == nil {
 		p = &pool{}
-		b.byService[e.info.Service] = p
+		r.byService[e.info.Service] = p
 	}
-	at, _ := slices.BinarySearchFunc(p.engines, e, byID)
-	p.engines = slices.Insert(p.engines, at, e)
+	i, _ := slices.BinarySearchFunc(p.engines, e, compareID)
+	p.engines = slices.Insert(p.engines, i, e)
 }
 
-func byID(a, b *Engine) int { return cmp.Compare(a.info.ID, b.info.ID) }
+func compareID(a, b *Engine) int { return cmp.Compare(a.info.ID, b.info.ID) }
 
-func (b *Registry) drop(e *Engine) {
-	delete(b.byID, e.info.ID)
-	delete(b.byMark, e.info.Incarnation().Hash())
-	b.recent.take(e)
-	e.recent = nil
-	p := b.byService[e.info.Service]
+// unregister removes an engine from all indexes.
+func (r *Registry) unregister(e *Engine) {
+	delete(r.byID, e.info.ID)
+	delete(r.byHash, e.info.Incarnation().Hash())
+	r.reports.remove(e)
+	e.reports = nil
+	p := r.byService[e.info.Service]
 	p.engines = slices.DeleteFunc(p.engines, func(x *Engine) bool { return x == e })
-	b.leave(e)
+	r.unindexAddr(e)
 }
 
-// MarkInvalid records that the entry of an engine cannot be used: it takes nothing new, and
-// what is believed of it is kept until it has a good entry again or none. It reports
-// whether that is news.
-func (b *Registry) MarkInvalid(id string) bool {
-	e, ok := b.byID[id]
+// MarkInvalid records that the entry of an engine cannot be used. The engine gets no
+// new requests, and its state is kept until it has a valid entry or none. MarkInvalid
+// reports whether the engine was valid before.
+func (r *Registry) MarkInvalid(id string) bool {
+	e, ok := r.byID[id]
 	if !ok || e.invalid {
 		return false
 	}
@@ -193,11 +194,11 @@
 	return true
 }
 
-// MarkMissing records that the list lacks an engine that may come back: it is chosen
-// only while most of its pool cannot be trusted. It reports whether that is
-// news.
-func (b *Registry) MarkMissing(id string) bool {
-	e, ok := b.byID[id]
+// MarkMissing records that the listing lacks an engine that may come back. The engine
+// is chosen only while most of its pool is suspect. MarkMissing reports whether the
+// engine was listed before.
+func (r *Registry) MarkMissing(id string) bool {
+	e, ok := r.byID[id]
 	if !ok || e.missing {
 		return false
 	}
@@ -205,78 +206,79 @@
 	return true
 }
 
-// Remove records that an engine is no longer listed, and returns it as it
-// was, or false.
-func (b *Registry) Remove(id string) (Info, bool) {
-	e, ok := b.byID[id]
+// Remove removes an engine that is no longer listed and returns its last entry. It
+// returns false if there is no such engine.
+func (r *Registry) Remove(id string) (Info, bool) {
+	e, ok := r.byID[id]
 	if !ok {
 		return Info{}, false
 	}
-	b.drop(e)
-	b.met.Add(e.info.Incarnation(), e.firstListedAt)
+	r.unregister(e)
+	r.firstListed.Add(e.info.Incarnation(), e.firstListedAt)
 	if !e.info.Draining {
-		b.crashed.Add(e.info.Incarnation(), struct{}{})
+		r.crashed.Add(e.info.Incarnation(), struct{}{})
 	}
 	if e.info.Draining && e.info.StartedAt != 0 {
-		// It has left: who lists it again speaks of the past.
-		b.ended.Add(e.info.Incarnation(), struct{}{})
+		// A drained incarnation does not come back: later entries for it are stale.
+		r.ended.Add(e.info.Incarnation(), struct{}{})
 	}
 	return e.info, true
 }
 
-// Forget drops an engine and all that was believed of its lives, but since when it is known:
-// what was said of it was not so.
-func (b *Registry) Forget(id string) {
-	if e, ok := b.byID[id]; ok {
-		b.drop(e)
-		b.met.Add(e.info.Incarnation(), e.firstListedAt)
+// Forget drops an engine and the state of all its incarnations, which came from wrong
+// reports. Only the time of the first listing is kept.
+func (r *Registry) Forget(id string) {
+	if e, ok := r.byID[id]; ok {
+		r.unregister(e)
+		r.firstListed.Add(e.info.Incarnation(), e.firstListedAt)
 	}
-	for _, lives := range []*simplelru.LRU[Incarnation, struct{}]{b.ended, b.crashed} {
-		for _, n := range lives.Keys() {
+	for _, past := range []*simplelru.LRU[Incarnation, struct{}]{r.ended, r.crashed} {
+		for _, n := range past.Keys() {
 			if n.ID == id {
-				lives.Remove(n)
+				past.Remove(n)
 			}
 		}
 	}
 }
 
-// WasListed reports whether a life of an engine was listed and no longer is.
-func (b *Registry) WasListed(n Incarnation) bool { return b.Find(n) == nil && b.met.Contains(n) }
+// WasListed reports whether an incarnation was listed and no longer is.
+func (r *Registry) WasListed(n Incarnation) bool {
+	return r.Find(n) == nil && r.firstListed.Contains(n)
+}
 
-// Crashed reports whether a life of an engine ended without a word that it leaves, by what
-// the list says.
-func (b *Registry) Crashed(n Incarnation) bool { return b.crashed.Contains(n) }
+// Crashed reports whether, by the listing, an incarnation ended without draining.
+func (r *Registry) Crashed(n Incarnation) bool { return r.crashed.Contains(n) }
 
-// MarkSynced records that the list is known whole for the first time: the engines
-// that are on it were there before, and did not just join.
-func (b *Registry) MarkSynced(now clock.Millis) {
-	for _, e := range b.byID {
-		e.listedAt = now - youth
+// MarkSynced records that the listing is complete for the first time. The engines on it
+// count as long known, not as just joined.
+func (r *Registry) MarkSynced(now clock.Millis) {
+	for _, e := range r.byID {
+		e.listedAt = now - newEnginePeriod
 		e.firstListedAt = e.listedAt
 	}
 }
 
-// Get returns an engine by id, or nil.
-func (b *Registry) Get(id string) *Engine { return b.byID[id] }
+// Get returns the engine with the given ID, or nil.
+func (r *Registry) Get(id string) *Engine { return r.byID[id] }
 
-// Find returns an engine if it still lives the given life, or nil.
-func (b *Registry) Find(n Incarnation) *Engine {
-	e := b.byID[n.ID]
+// Find returns the engine if the given incarnation is the listed one, or nil.
+func (r *Registry) Find(n Incarnation) *Engine {
+	e := r.byID[n.ID]
 	if e == nil || e.info.StartedAt != n.StartedAt {
 		return nil
 	}
 	return e
 }
 
-// IDs returns the ids of all engines, sorted.
-func (b *Registry) IDs() []string {
-	ids := make([]string, 0, len(b.byID))
-	for id := range b.byID {
+// IDs returns the IDs of all engines, sorted.
+func (r *Registry) IDs() []string {
+	ids := make([]string, 0, len(r.byID))
+	for id := range r.byID {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// ByHash returns the engine of which a life has a mark, or nil.
-func (b *Registry) ByHash(mark uint32) *Engine { return b.byMark[mark] }
+// ByHash returns the engine whose incarnation has the given hash, or nil.
+func (r *Registry) ByHash(hash uint32) *Engine { return r.byHash[hash] }
--- a/engines/cost_test.go
+++ b/engines/cost_test.go
@@ -9,11 +9,11 @@
 	"github.com/weldfall/weldfall/internal/heaptest"
 )
 
-// costSizes are pools: of sites, of the large one, of a model of the plan, and all
-// engines of the plan in one.
+// costSizes are numbers of engines: the pools of the sites, of the large site and of one
+// model of the planned fleet, and all engines of that fleet in one pool.
 var costSizes = []int{12, 50, 188, 480, 1000, 10_000}
 
-// listed returns an engine as the platform lists it, with strings of its own.
+// listed returns a listing entry with newly allocated strings.
 func listed(i int) engines.Info {
 	return engines.Info{
 		ID: fmt.Sprintf("i-%010x", 0x9b6bcf2168+i*7919), Service: service, Addr: fmt.Sprintf("10.%d.%d.%d:8242", i%5, i/250, i%250),
@@ -21,8 +21,9 @@
 	}
 }
 
-// toldBook returns a book of n engines that all told a load lately, and answered.
-func toldBook(n int, now clock.Millis) *engines.Registry {
+// newLoadedRegistry returns a registry of n engines that all reported a load and completed
+// a request lately.
+func newLoadedRegistry(n int, now clock.Millis) *engines.Registry {
 	b := engines.NewRegistry()
 	for i := range n {
 		in := listed(i)
@@ -36,38 +37,38 @@
 	return b
 }
 
-// bySize runs a benchmark on books of each size.
-func bySize(b *testing.B, f func(b *testing.B, book *engines.Registry, now clock.Millis)) {
+// bySize runs a benchmark on registries of each size.
+func bySize(b *testing.B, f func(b *testing.B, registry *engines.Registry, now clock.Millis)) {
 	const now = 100_000
 	for _, n := range costSizes {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
-			book := toldBook(n, now)
+			registry := newLoadedRegistry(n, now)
 			b.ReportAllocs()
-			f(b, book, now)
+			f(b, registry, now)
 		})
 	}
 }
 
-// BenchmarkChoose is the choice for a chat that has come before, and one by load.
+// BenchmarkChoose measures the choice for a chat sent before, and a choice by load.
 func BenchmarkChoose(b *testing.B) {
 	b.Run("chat", func(b *testing.B) {
-		bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
+		bySize(b, func(b *testing.B, registry *engines.Registry, now clock.Millis) {
 			key := uint64(0)
 			for b.Loop() {
 				key++
-				// Results fade from choice to choice.
+				// Advance the time so that outcomes decay between choices.
 				now++
-				if _, ok := book.Choose(query(key%1000, key%3000+1000), now); !ok {
+				if _, ok := registry.Choose(query(key%1000, key%3000+1000), now); !ok {
 					b.Fatal("got no engine")
 				}
 			}
 		})
 	})
 	b.Run("load", func(b *testing.B) {
-		bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
+		bySize(b, func(b *testing.B, registry *engines.Registry, now clock.Millis) {
 			for b.Loop() {
 				now++
-				if _, ok := book.Choose(query(), now); !ok {
+				if _, ok := registry.Choose(query(), now); !ok {
 					b.Fatal("got no engine")
 				}
 			}
@@ -75,26 +76,26 @@
 	})
 }
 
-// BenchmarkLoads is the choice of the loads that one message to a peer tells.
+// BenchmarkLoads measures the selection of loads for one message to a peer.
 func BenchmarkLoads(b *testing.B) {
-	bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
+	bySize(b, func(b *testing.B, registry *engines.Registry, now clock.Millis) {
 		for b.Loop() {
-			book.RecentLoads(2000, 10, now)
+			registry.RecentLoads(2000, 10, now)
 		}
 	})
 }
 
-// BenchmarkPutAgain is an engine that the list names again, unchanged.
+// BenchmarkPutAgain measures an unchanged listing entry.
 func BenchmarkPutAgain(b *testing.B) {
-	bySize(b, func(b *testing.B, book *engines.Registry, now clock.Millis) {
+	bySize(b, func(b *testing.B, registry *engines.Registry, now clock.Millis) {
 		in := listed(3)
 		for b.Loop() {
-			book.Put(in, now)
+			registry.Put(in, now)
 		}
 	})
 }
 
-// BenchmarkPutAll is a whole list that is new.
+// BenchmarkPutAll measures a complete new listing.
 func BenchmarkPutAll(b *testing.B) {
 	for _, n := range costSizes {
 		b.Run(fmt.Sprint("engines=", n), func(b *testing.B) {
@@ -103,9 +104,9 @@
 				all[i] = listed(i)
 			}
 			for b.Loop() {
-				book := engines.NewRegistry()
+				registry := engines.NewRegistry()
 				for _, in := range all {
-					book.Put(in, 0)
+					registry.Put(in, 0)
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*n), "ns/engine")
@@ -113,11 +114,11 @@
 	}
 }
 
-// TestCostsOfAnEngine tells what an engine and a remembered beginning cost in
-// memory, and fails if they grow out of proportion.
-func TestCostsOfAnEngine(t *testing.T) {
+// TestMemoryPerEngine logs the memory used by an engine and by a remembered prefix, and
+// fails if either exceeds its limit.
+func TestMemoryPerEngine(t *testing.T) {
 	for _, n := range costSizes[3:] {
-		got := heaptest.BytesEach(n, func() *engines.Registry { return toldBook(n, 1000) })
+		got := heaptest.BytesEach(n, func() *engines.Registry { return newLoadedRegistry(n, 1000) })
 		t.Logf("%d engines: %.0f bytes each", n, got)
 		if got > 2048 {
 			t.Errorf("got %.0f bytes an engine of %d, want at most 2,048", got, n)
@@ -125,14 +126,14 @@
 	}
 	const chats = 8192
 	got := heaptest.BytesEach(chats, func() *engines.Registry {
-		b := toldBook(50, 1000)
+		b := newLoadedRegistry(50, 1000)
 		for key := range uint64(chats) {
 			b.Choose(query(key+1), 1000)
 		}
 		return b
 	})
-	t.Logf("%d beginnings: %.0f bytes each", chats, got)
+	t.Logf("%d prefixes: %.0f bytes each", chats, got)
 	if got > 512 {
-		t.Errorf("got %.0f bytes a beginning, want at most 512", got)
+		t.Errorf("got %.0f bytes a prefix, want at most 512", got)
 	}
 }
--- a/engines/engine.go
+++ b/engines/engine.go
@@ -1,7 +1,7 @@
-// Package engines is what one entry believes about the engines that it sends
-// to directly: who is there by the platform's list, how loaded each is by its
-// own answers, and whether it can be trusted by what became of requests. It
-// is pure: news and the time are handed in, and callers lock.
+// Package engines keeps what one entry knows of the engines that it sends requests to
+// directly: which engines the platform lists, how loaded each is by its own reports, and
+// whether it can be trusted by the outcomes of requests. It does no I/O: events and the
+// time are passed in. A Registry and its engines must be locked by the caller.
 package engines
 
 import (
@@ -13,122 +13,122 @@
 	"github.com/weldfall/weldfall/route"
 )
 
-// Info is an engine as the platform lists it.
+// Info is the listing entry of an engine.
 type Info struct {
 	ID      string
 	Service string
 	// Addr is host:port.
 	Addr string
 	Hall string
-	// Slots is how many requests run at once, at least 1.
+	// Slots is how many requests the engine runs at once, at least 1.
 	Slots int
-	// Draining engines finish what they have and take nothing new.
+	// Draining engines finish their requests and get no new ones.
 	Draining bool
 	// StartedAt is when the engine started by the clock of its machine, in Unix
-	// milliseconds; zero if the list does not tell.
+	// milliseconds. It is zero if the listing does not say.
 	StartedAt int64
-	// WarmupLeft is how much longer the engine was cold when the list said so. It is
-	// word of a moment: a Book does not keep it here.
+	// WarmupLeft is how much longer the engine warms up, as of the time of the listing.
+	// A Registry converts it to a time and does not keep it here.
 	WarmupLeft clock.Millis
 }
 
-// Incarnation is one life of an engine. An engine may start again under the id
-// that it had, and then knows and holds nothing of before.
+// Incarnation identifies one run of an engine process. An engine may restart under the
+// same ID and has then lost all its requests and cached prefixes.
 type Incarnation struct {
 	ID        string
 	StartedAt int64
 }
 
-// Incarnation returns the life of the engine that is listed.
+// Incarnation returns the incarnation of the listed engine.
 func (in Info) Incarnation() Incarnation { return Incarnation{ID: in.ID, StartedAt: in.StartedAt} }
 
-// Hash tells the lives of engines apart in messages, where four bytes must do: among
-// 10,000 engines there is a pair that shares one in 1 of 86 fleets. The start is hashed
-// with the id, not as a seed: a seed is only combined with a short id by XOR.
+// Hash returns the four bytes that identify an incarnation in messages. Among 10,000
+// engines, two share a hash in 1 of 86 fleets. The start time is hashed along with the ID
+// and is not the seed, which XXH3 only combines with a short ID by XOR.
 func (n Incarnation) Hash() uint32 {
 	var buf [64]byte
 	return uint32(xxh3.Hash(binary.LittleEndian.AppendUint64(append(buf[:0], n.ID...), uint64(n.StartedAt))))
 }
 
-// Load is what an engine said of itself in an answer.
+// Load is the load that an engine reports in a response.
 type Load struct {
 	Running int
 	Waiting int
 }
 
-// Engine is one engine and what is believed about it.
+// Engine is a listed engine and the state kept of it.
 type Engine struct {
 	info   Info
 	target route.Target
-	// inflight counts our requests at the engine; it is never negative.
+	// inflight counts this entry's requests at the engine. It is never negative.
 	inflight int
-	// reportedRequests is how many requests the engine had at othersAt.
+	// reportedRequests is how many requests the engine had at reportedAt.
 	reportedRequests int
-	// otherRequests is how many requests of other entries the engine had at othersAt,
-	// never negative.
+	// otherRequests is how many of them came from other entries. It is never negative.
 	otherRequests float64
 	reportedAt    clock.Millis
-	// hasReport is true once the engine has said its load.
+	// hasReport is true once the engine has reported its load.
 	hasReport bool
-	// lastActiveAt is when the engine last sent anything.
+	// lastActiveAt is when the engine last sent anything to this entry.
 	lastActiveAt clock.Millis
-	// silentSince is when the oldest silence began: the time of the first
-	// request that was sent after the engine was last heard. Zero if nothing
-	// is awaited.
+	// silentSince is when the present silence began: when the engine last sent anything,
+	// or when the first request after that was sent if none was in flight. It is zero
+	// while no request is in flight.
 	silentSince clock.Millis
 	health      health
-	// missing is true while the list lacks the engine and it may come back.
+	// missing is true while the listing lacks the engine and it may come back.
 	missing bool
-	// invalid is true while its entry on the list cannot be used. What is
-	// believed of it is kept for its return.
+	// invalid is true while the engine's listing entry cannot be used. Its state is kept
+	// until it has a valid entry again.
 	invalid bool
-	// conflicts are the other engines that are listed with its address.
+	// conflicts holds the other engines listed with the same address.
 	conflicts []*Engine
-	// confirmedAt is when an answer last came under its id, replacedAt when another
-	// engine last answered at its address; zero if none did.
+	// confirmedAt is when a response last came from this engine, replacedAt when another
+	// engine last responded at its address; zero if never.
 	confirmedAt, replacedAt clock.Millis
-	// listedAt is when the engine was listed here, firstListedAt when it was for the first time
-	// if it was off the list meanwhile.
+	// listedAt is when the engine was added to the listing, firstListedAt when it was for
+	// the first time if the listing lacked it in between.
 	listedAt, firstListedAt clock.Millis
-	// reopenedAt is when its data hall was last taken back from an evacuation, zero if
-	// it never was.
+	// reopenedAt is when the last evacuation of its data hall ended, zero if there was
+	// none.
 	reopenedAt clock.Millis
-	warmup     warmth
-	// checkedAt is when the engine was last asked whether it is healthy, zero if it never was.
+	warmup     warmupState
+	// checkedAt is when the last health check was allowed, zero if none was.
 	checkedAt clock.Millis
-	// reservedUntil is until when it runs a request alone that may end it.
+	// reservedUntil is the end of a reservation for an isolated request.
 	reservedUntil clock.Millis
-	// recent has the engine by its word, between a newer and an older one; nil while it
-	// is not listed.
-	recent       *recent
+	// reports is the list that holds the engine if it has reported a load, between a
+	// newer and an older report. It is nil while the engine is not listed.
+	reports      *reportList
 	newer, older *Engine
 }
 
-// Info returns the engine as listed.
+// Info returns the listing entry of the engine.
 func (e *Engine) Info() Info { return e.info }
 
-// othersHalfLife is how fast the word of an engine about its load loses its
-// weight against the mean of all: requests last half a second on average, so
-// after a second most of them have been replaced.
+// othersHalfLife is the half-life of a load report's weight against the mean of all
+// engines. Requests last half a second on average, so after a second most of them have
+// been replaced by others.
 const othersHalfLife clock.Millis = 1000
 
-var othersFading = newFading(othersHalfLife)
+var othersDecay = newDecay(othersHalfLife)
 
-// weight is what the word of an engine about its load counts against the mean of all.
-func (e *Engine) weight(now clock.Millis) float64 {
+// reportWeight returns the weight of the engine's load report against the mean of all
+// engines.
+func (e *Engine) reportWeight(now clock.Millis) float64 {
 	if !e.hasReport {
 		return 0
 	}
-	return othersFading.left(now - e.reportedAt)
+	return othersDecay.weight(now - e.reportedAt)
 }
 
-// load estimates the requests at the engine. mean is the mean of what other
-// entries have at an engine, weight that of its own word.
-func (e *Engine) load(mean, weight float64) float64 {
+// estimateLoad estimates the number of requests at the engine. mean is the mean number
+// of other entries' requests at an engine, weight the weight of the engine's own report.
+func (e *Engine) estimateLoad(mean, weight float64) float64 {
 	return float64(e.inflight) + mean + (e.otherRequests-mean)*weight
 }
 
-// silence returns how long the engine has left requests without any sign.
+// silence returns for how long the engine has sent nothing while it had requests.
 func (e *Engine) silence(now clock.Millis) clock.Millis {
 	if e.silentSince == 0 {
 		return 0
@@ -139,7 +139,7 @@
 // BeginRequest counts a request that is about to be sent.
 func (e *Engine) BeginRequest(now clock.Millis) {
 	e.inflight++
-	e.warmup.note(now)
+	e.warmup.record(now)
 	if e.silentSince == 0 {
 		e.silentSince = now
 	}
@@ -152,23 +152,23 @@
 	e.silentSince = now
 }
 
-// RecordLoad records the load that an engine had at the given time, which counts
-// our own requests too. An older word than the latest is passed over.
-func (e *Engine) RecordLoad(l Load, at clock.Millis) {
-	if e.hasReport && at <= e.reportedAt {
+// RecordLoad records the load that the engine had at asOf, this entry's
+// requests included. It ignores a report that is not newer than the latest.
+func (e *Engine) RecordLoad(l Load, asOf clock.Millis) {
+	if e.hasReport && asOf <= e.reportedAt {
 		return
 	}
 	e.reportedRequests = l.Running + l.Waiting
 	e.otherRequests = max(0, float64(e.reportedRequests-e.inflight))
-	e.reportedAt = at
+	e.reportedAt = asOf
 	e.hasReport = true
-	if e.recent != nil {
-		e.recent.place(e)
+	if e.reports != nil {
+		e.reports.insert(e)
 	}
 }
 
-// EndRequest counts the end of a request and returns what it changes in the trust
-// in the engine.
+// EndRequest records the end of a request and its outcome, and returns the change in the
+// trust in the engine.
 func (e *Engine) EndRequest(o Outcome, now clock.Millis) TrustChange {
 	e.inflight = max(0, e.inflight-1)
 	if e.inflight == 0 {
@@ -177,44 +177,45 @@
 	if o == Replaced {
 		e.replacedAt = now
 	}
-	return e.health.note(o, now)
+	return e.health.record(o, now)
 }
 
-// MarkReached records that the engine took a connection again, and returns what
-// that changes in the trust in it.
+// MarkReached records that the engine accepted a connection again, and returns the change
+// in the trust in it.
 func (e *Engine) MarkReached(now clock.Millis) TrustChange {
 	e.warmup.reachedAt = now
-	return e.health.reached()
+	return e.health.markReached()
 }
 
-// MarkLost records that the engine ended, and returns what that changes in the trust in it.
-func (e *Engine) MarkLost(now clock.Millis) TrustChange { return e.health.note(Unreachable, now) }
+// MarkLost records that the engine process ended, and returns the change in the trust in
+// the engine.
+func (e *Engine) MarkLost(now clock.Millis) TrustChange { return e.health.record(Unreachable, now) }
 
-// SilentSince reports whether the engine gave no sign since a time, to this entry or as
-// others told, though as far as is known it has a slot free.
-func (e *Engine) SilentSince(at, now clock.Millis) bool {
-	if e.lastActiveAt >= at || (e.hasReport && e.reportedAt >= at) {
+// SilentSince reports whether the engine has sent nothing since the given time, neither to
+// this entry nor by the reports of others, though it appears to have a free slot.
+func (e *Engine) SilentSince(since, now clock.Millis) bool {
+	if e.lastActiveAt >= since || (e.hasReport && e.reportedAt >= since) {
 		return false
 	}
-	return e.load(0, e.weight(now)) <= float64(e.info.Slots)
+	return e.estimateLoad(0, e.reportWeight(now)) <= float64(e.info.Slots)
 }
 
-// askPeriod bounds how often an engine is asked whether it is healthy.
-const askPeriod clock.Millis = 1000
+// healthCheckPeriod is the least time between two health checks of an engine.
+const healthCheckPeriod clock.Millis = 1000
 
-// AllowHealthCheck reports whether the engine may be asked whether it is healthy, and takes it that
-// it is.
+// AllowHealthCheck reports whether a health check of the engine is due. If it is, the
+// caller must perform it: the next one is allowed only after healthCheckPeriod.
 func (e *Engine) AllowHealthCheck(now clock.Millis) bool {
-	if e.checkedAt != 0 && now-e.checkedAt < askPeriod {
+	if e.checkedAt != 0 && now-e.checkedAt < healthCheckPeriod {
 		return false
 	}
 	e.checkedAt = now
 	return true
 }
 
-// IsUnreachable reports whether the engine could not be reached, and was not since.
-func (e *Engine) IsUnreachable() bool { return e.health.unreached }
+// IsUnreachable reports whether the engine could not be reached and has not been since.
+func (e *Engine) IsUnreachable() bool { return e.health.unreachable }
 
-// Reserve keeps others from an engine, until the given time, that runs a request which
-// may end it. A time that has passed gives it free.
+// Reserve keeps other requests away from the engine until the given time, while it runs a
+// request that may crash it. A time in the past ends the reservation.
 func (e *Engine) Reserve(until clock.Millis) { e.reservedUntil = until }
--- a/engines/evacuate.go
+++ b/engines/evacuate.go
@@ -2,44 +2,43 @@
 
 import "github.com/weldfall/weldfall/common/clock"
 
-// SetEvacuatedHalls records the data halls whose engines take nothing new: those that are
-// named and no others. Requests that run there go on, and what such an engine
-// keeps can be fetched.
-func (b *Registry) SetEvacuatedHalls(halls []string, now clock.Millis) {
-	before := b.evacuated
-	b.evacuated = map[string]clock.Millis{}
+// SetEvacuatedHalls replaces the set of data halls whose engines get no new requests.
+// Requests that run there go on, and prefixes cached there can still be fetched.
+func (r *Registry) SetEvacuatedHalls(halls []string, now clock.Millis) {
+	before := r.evacuated
+	r.evacuated = map[string]clock.Millis{}
 	for _, h := range halls {
 		since, ok := before[h]
 		if !ok {
 			since = now
 		}
-		b.evacuated[h] = since
+		r.evacuated[h] = since
 	}
-	for _, e := range b.byID {
-		if _, was := before[e.info.Hall]; was && !b.isEvacuated(e) {
+	for _, e := range r.byID {
+		if _, was := before[e.info.Hall]; was && !r.isEvacuated(e) {
 			e.reopenedAt = now
 		}
 	}
 }
 
-// isEvacuated reports whether an engine takes nothing new for its data hall.
-func (b *Registry) isEvacuated(e *Engine) bool {
-	if len(b.evacuated) == 0 {
+// isEvacuated reports whether the data hall of an engine is under evacuation.
+func (r *Registry) isEvacuated(e *Engine) bool {
+	if len(r.evacuated) == 0 {
 		return false
 	}
-	_, ok := b.evacuated[e.info.Hall]
+	_, ok := r.evacuated[e.info.Hall]
 	return ok
 }
 
-// CountEvacuated returns how many listed engines of a service are in data halls
-// under evacuation, and how many are listed.
-func (b *Registry) CountEvacuated(service string) (n, all int) {
-	p := b.byService[service]
+// CountEvacuated returns how many listed engines of a service are in data halls under
+// evacuation, and how many are listed in all.
+func (r *Registry) CountEvacuated(service string) (n, all int) {
+	p := r.byService[service]
 	if p == nil {
 		return 0, 0
 	}
 	for _, e := range p.engines {
-		if b.isEvacuated(e) {
+		if r.isEvacuated(e) {
 			n++
 		}
 	}
@@ -47,9 +46,9 @@
 }
 
 // CountInHall returns how many engines are listed in a data hall.
-func (b *Registry) CountInHall(hall string) int {
+func (r *Registry) CountInHall(hall string) int {
 	n := 0
-	for _, e := range b.byID {
+	for _, e := range r.byID {
 		if e.info.Hall == hall {
 			n++
 		}
--- a/engines/evacuate_test.go
+++ b/engines/evacuate_test.go
@@ -7,34 +7,34 @@
 	"github.com/weldfall/weldfall/engines"
 )
 
-// twoHalls returns a book of six engines, every other one in hall b, that have
-// been there for long and gave a sign just now.
-func twoHalls(now clock.Millis) *engines.Registry {
-	b := engines.NewRegistry()
+// newTwoHallRegistry returns a registry of six engines, every other one in hall b. All
+// have been listed for long and responded at now.
+func newTwoHallRegistry(now clock.Millis) *engines.Registry {
+	r := engines.NewRegistry()
 	for i := range 6 {
 		in := info(i)
 		if i%2 == 1 {
 			in.Hall = "b"
 		}
-		b.Put(in, 0)
+		r.Put(in, 0)
 	}
-	b.MarkSynced(now)
-	for _, id := range b.IDs() {
-		answer(b.Get(id), now)
+	r.MarkSynced(now)
+	for _, id := range r.IDs() {
+		completeRequest(r.Get(id), now)
 	}
-	return b
+	return r
 }
 
-// answer records a whole answer of an engine that has nothing else to do.
-func answer(e *engines.Engine, now clock.Millis) {
+// completeRequest records a request that succeeds at once.
+func completeRequest(e *engines.Engine, now clock.Millis) {
 	e.BeginRequest(now)
 	e.RecordActivity(now)
 	e.EndRequest(engines.Succeeded, now)
 }
 
-func TestEnginesOfAnEvacuatedHallAreNotChosen(t *testing.T) {
+func TestChooseSkipsEvacuatedHall(t *testing.T) {
 	const now = 100_000
-	b := twoHalls(now)
+	r := newTwoHallRegistry(now)
 	for _, tc := range []struct {
 		halls []string
 		a, b  bool
@@ -44,10 +44,10 @@
 		{[]string{"a"}, false, true},
 		{nil, true, true},
 	} {
-		b.SetEvacuatedHalls(tc.halls, now)
+		r.SetEvacuatedHalls(tc.halls, now)
 		got := map[string]bool{}
 		for key := uint64(1); key <= 50; key++ {
-			if c, ok := b.Choose(query(key), now); ok {
+			if c, ok := r.Choose(query(key), now); ok {
 				got[c.Engine.Info().Hall] = true
 			}
 		}
@@ -57,34 +57,34 @@
 	}
 }
 
-// An evacuated engine gives no sign, since nothing is sent to it; the list alone
-// says that it is there. It is asked for a chat while chats that were going on
-// return, also by an entry that never sent the chat.
-func TestAnEvacuatedEngineIsAskedForWhatItKeeps(t *testing.T) {
+// An evacuated engine shows no activity, because it gets no requests; only the listing
+// says that it is there. Its prefixes are fetched as long as chats in progress return,
+// even by an entry that never sent the chat.
+func TestEvacuatedEngineIsFetchSource(t *testing.T) {
 	const now, chat = 100_000, 42
-	home := choose(t, twoHalls(now), query(chat), now).Engine.Info()
+	home := choose(t, newTwoHallRegistry(now), query(chat), now).Engine.Info()
 	for _, tc := range []struct {
 		name  string
 		later clock.Millis
 		want  string
 	}{
 		{"at once", 0, home.ID},
-		{"long after its last sign", 10_000, home.ID},
+		{"long after its last activity", 10_000, home.ID},
 		{"when chats have moved", 20_000, ""},
 	} {
 		for _, sent := range []bool{true, false} {
-			b := twoHalls(now)
+			r := newTwoHallRegistry(now)
 			if sent {
-				choose(t, b, query(chat), now)
+				choose(t, r, query(chat), now)
 			}
-			b.SetEvacuatedHalls([]string{home.Hall}, now)
-			// The others are heard all the time.
-			for _, id := range b.IDs() {
-				if e := b.Get(id); e.Info().Hall != home.Hall {
-					answer(e, now+tc.later)
+			r.SetEvacuatedHalls([]string{home.Hall}, now)
+			// The other engines keep responding.
+			for _, id := range r.IDs() {
+				if e := r.Get(id); e.Info().Hall != home.Hall {
+					completeRequest(e, now+tc.later)
 				}
 			}
-			c := choose(t, b, query(chat), now+tc.later)
+			c := choose(t, r, query(chat), now+tc.later)
 			if got := sourceID(c); got != tc.want || c.Engine.Info().Hall == home.Hall {
 				t.Errorf("%s, sent before %v: got source %q for %+v, want %q and the other hall", tc.name, sent, got, c.Engine.Info(), tc.want)
 			}
@@ -92,24 +92,24 @@
 	}
 }
 
-// A hall that is taken back lacks what was said meanwhile, and may have lost the
-// rest: its engines take chats from those that had them.
-func TestAnEngineThatIsTakenBackFetchesWhatOthersHadMeanwhile(t *testing.T) {
+// Engines of a reopened hall lack the turns that chats had during the evacuation and may
+// have lost older ones. They fetch chats from the engines that served them meanwhile.
+func TestReopenedHallFetchesNewerPrefixes(t *testing.T) {
 	const now, chat = 100_000, 42
-	b := twoHalls(now)
-	home := choose(t, b, query(chat), now).Engine.Info()
-	b.SetEvacuatedHalls([]string{home.Hall}, now)
-	meanwhile := choose(t, b, query(chat), now).Engine.Info()
-	b.SetEvacuatedHalls(nil, now)
-	c := choose(t, b, query(chat), now)
+	r := newTwoHallRegistry(now)
+	home := choose(t, r, query(chat), now).Engine.Info()
+	r.SetEvacuatedHalls([]string{home.Hall}, now)
+	meanwhile := choose(t, r, query(chat), now).Engine.Info()
+	r.SetEvacuatedHalls(nil, now)
+	c := choose(t, r, query(chat), now)
 	if got := sourceID(c); c.Engine.Info() != home || got != meanwhile.ID {
 		t.Errorf("got source %q for %s, want %q for the home %s", got, c.Engine.Info().ID, meanwhile.ID, home.ID)
 	}
-	if got := sourceID(choose(t, b, query(chat), now)); got != "" {
-		t.Errorf("got source %q for a chat that came back already, want none", got)
+	if got := sourceID(choose(t, r, query(chat), now)); got != "" {
+		t.Errorf("got source %q for a chat that has already returned, want none", got)
 	}
-	// Another entry that never sent the chat guesses.
-	other := twoHalls(now)
+	// An entry that never sent the chat relies on the ranking.
+	other := newTwoHallRegistry(now)
 	other.SetEvacuatedHalls([]string{home.Hall}, now)
 	other.SetEvacuatedHalls(nil, now)
 	if got := sourceID(choose(t, other, query(chat), now)); got != meanwhile.ID {
--- a/engines/fade.go
+++ b/engines/fade.go
@@ -6,28 +6,29 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// fading is how much of something is left that halves again and again, by how long ago it
-// was: a table of one halving. A choice asks this for each engine twice, and of 24 µs
-// among 188 engines (BenchmarkChoose, one core) exponentials took 10.
-type fading []float64
+// decay is an exponential decay, tabulated for one half-life. Choose evaluates it twice
+// for each engine: computing exponentials took 10 of the 24 µs of a choice among 188
+// engines (BenchmarkChoose, one core).
+type decay []float64
 
-// newFading returns the table of something that halves within the given time.
-func newFading(halfLife clock.Millis) fading {
-	f := make(fading, halfLife)
+// newDecay returns a decay with the given half-life.
+func newDecay(halfLife clock.Millis) decay {
+	f := make(decay, halfLife)
 	for i := range f {
 		f[i] = math.Exp2(-float64(i) / float64(halfLife))
 	}
 	return f
 }
 
-// mostHalvings is after how many nothing is left that could matter beside anything.
-const mostHalvings = 60
+// maxHalfLives is the number of half-lives after which the remaining weight is
+// negligible and counts as zero.
+const maxHalfLives = 60
 
-// left returns the part that is left after a time.
-func (f fading) left(d clock.Millis) float64 {
+// weight returns the weight that remains after age d, from 1 to 0.
+func (f decay) weight(d clock.Millis) float64 {
 	d = max(0, d)
 	n := d / clock.Millis(len(f))
-	if n >= mostHalvings {
+	if n >= maxHalfLives {
 		return 0
 	}
 	return f[d-n*clock.Millis(len(f))] / float64(uint64(1)<<n)
--- a/engines/fetch.go
+++ b/engines/fetch.go
@@ -1,27 +1,26 @@
 package engines
 
-// Cost is what the prompts of a service cost its engines, in milliseconds a token; what is
-// not known is zero.
+// Cost is what the prompts of a service cost its engines, in milliseconds per token. A
+// cost that is not known is zero.
 type Cost struct {
-	// Prefill is the time to read a token, and Transfer that to take it from another engine of
-	// the same data hall.
+	// Prefill is the time to compute a token, Transfer the time to fetch it from the
+	// cache of another engine in the same data hall.
 	Prefill, Transfer float64
 }
 
-// farMoves is how many times as long a move takes between data halls.
-const farMoves = 2
+// crossHallFactor is how many times as long a transfer takes between data halls.
+const crossHallFactor = 2
 
-// fetches reports whether an engine that lacks a prompt had better take it from another
-// than read it. All that runs there waits while it reads, and only the request itself
-// while it takes. load is how many requests the engine has. Without word of the cost, it
-// takes.
-func (c Cost) fetches(load float64, far bool) bool {
+// prefersFetch reports whether an engine with load requests should fetch a prefix that
+// it lacks from another engine rather than prefill it. A prefill delays all requests on
+// the engine, a fetch only the request itself. If the costs are not known, it fetches.
+func (c Cost) prefersFetch(load float64, crossHall bool) bool {
 	if c.Prefill <= 0 || c.Transfer <= 0 {
 		return true
 	}
-	move := c.Transfer
-	if far {
-		move *= farMoves
+	transfer := c.Transfer
+	if crossHall {
+		transfer *= crossHallFactor
 	}
-	return move <= c.Prefill*(1+load)
+	return transfer <= c.Prefill*(1+load)
 }
--- a/engines/health.go
+++ b/engines/health.go
@@ -2,110 +2,111 @@
 
 import "github.com/weldfall/weldfall/common/clock"
 
-// Outcome is what became of a request at an engine, as far as it tells
-// something about the engine.
+// Outcome is the result of a request, as far as it says something about the engine.
 type Outcome string
 
 const (
-	// Succeeded is a whole answer.
+	// Succeeded is a complete response.
 	Succeeded Outcome = "good"
-	// Neutral says nothing: the caller left, or the deadline was short.
+	// Neutral says nothing about the engine: the caller left or the deadline was short.
 	Neutral Outcome = "neutral"
-	// Failed is a failure of the engine, a broken or a wrong answer.
+	// Failed is a failure of the engine, or an interrupted or wrong response.
 	Failed Outcome = "failed"
-	// Refused is an engine that is full.
+	// Refused means that the engine was full.
 	Refused Outcome = "refused"
-	// Unreachable is an engine that took no connection or fell silent.
+	// Unreachable means that the engine accepted no connection or sent nothing.
 	Unreachable Outcome = "unreachable"
-	// Replaced is an engine that is not the one that is listed.
+	// Replaced means that another engine responded at the listed address.
 	Replaced Outcome = "departed"
 )
 
-// Bounds of suspicion.
 const (
-	// holdFor is how long an address is left alone at which another engine
-	// answered: about one heartbeat, after which the list knows more.
-	holdFor clock.Millis = 1000
-	// rateHalfLife is how fast results are forgotten.
-	rateHalfLife clock.Millis = 3000
-	// rateLeast is the weight of results below which no rate is judged.
-	rateLeast = 3.0
+	// replacedBackoff is how long an address is avoided after another engine responded
+	// there: about one heartbeat, after which the listing is up to date.
+	replacedBackoff clock.Millis = 1000
+	// outcomeHalfLife is the half-life of outcomes in the failure rate.
+	outcomeHalfLife clock.Millis = 3000
+	// minOutcomes is the weight of outcomes below which the failure rate counts as zero.
+	minOutcomes = 3.0
 )
 
-var rateFading = newFading(rateHalfLife)
+var outcomeDecay = newDecay(outcomeHalfLife)
 
-// health is the record of an engine's results.
+// health is the record of the outcomes at an engine.
 type health struct {
-	// good and bad are sums of results, fading with rateHalfLife.
+	// good and bad are sums of outcomes that decay with outcomeHalfLife.
 	good, bad float64
-	at        clock.Millis
-	// heldUntil is when an engine may be tried again that was not at its address.
-	heldUntil clock.Millis
-	// unreached is true from a failure to reach the engine until it is reached.
-	unreached bool
+	updatedAt clock.Millis
+	// avoidUntil is the end of the backoff after another engine responded at the
+	// address.
+	avoidUntil clock.Millis
+	// unreachable is true from a failure to reach the engine until it is reached.
+	unreachable bool
 }
 
-func (h *health) fade(now clock.Millis) {
-	if now <= h.at {
+// decay ages the sums to now.
+func (h *health) decay(now clock.Millis) {
+	if now <= h.updatedAt {
 		return
 	}
-	w := rateFading.left(now - h.at)
+	w := outcomeDecay.weight(now - h.updatedAt)
 	h.good *= w
 	h.bad *= w
-	h.at = now
+	h.updatedAt = now
 }
 
-// TrustChange is a change in what is believed of an engine.
+// TrustChange is a change in the trust in an engine.
 type TrustChange string
 
 const (
-	// TrustUnchanged is no change.
 	TrustUnchanged TrustChange = ""
-	// Suspected engines could not be reached. They are left alone until they
-	// are: the caller is to find out.
+	// Suspected means that the engine could not be reached. It gets no requests until
+	// it is reached again, which the caller has to check.
 	Suspected TrustChange = "suspected"
-	// Trusted engines were reached again.
+	// Trusted means that the engine was reached again.
 	Trusted TrustChange = "trusted"
 )
 
-func (h *health) note(o Outcome, now clock.Millis) TrustChange {
-	h.fade(now)
+// record adds the outcome of a request.
+func (h *health) record(o Outcome, now clock.Millis) TrustChange {
+	h.decay(now)
 	switch o {
 	case Succeeded:
 		h.good++
-		return h.reached()
+		return h.markReached()
 	case Failed:
 		h.bad++
 	case Unreachable:
 		h.bad++
-		if !h.unreached {
-			h.unreached = true
+		if !h.unreachable {
+			h.unreachable = true
 			return Suspected
 		}
 	case Replaced:
 		h.bad++
-		h.heldUntil = now + holdFor
+		h.avoidUntil = now + replacedBackoff
 	case Refused, Neutral:
 	}
 	return TrustUnchanged
 }
 
-// reached records that the engine took a connection.
-func (h *health) reached() TrustChange {
-	if !h.unreached {
+// markReached records that the engine accepted a connection.
+func (h *health) markReached() TrustChange {
+	if !h.unreachable {
 		return TrustUnchanged
 	}
-	h.unreached = false
+	h.unreachable = false
 	return Trusted
 }
 
-// rate returns the share of failures, or zero if too little is known.
-func (h *health) rate(now clock.Millis) float64 {
-	h.fade(now)
-	if h.good+h.bad < rateLeast {
+// failureRate returns the share of failures, or zero if there are too few outcomes.
+func (h *health) failureRate(now clock.Millis) float64 {
+	h.decay(now)
+	if h.good+h.bad < minOutcomes {
 		return 0
 	}
 	return h.bad / (h.good + h.bad)
 }
 
-func (h *health) held(now clock.Millis) bool { return h.unreached || now < h.heldUntil }
+// avoided reports whether the engine gets no requests for now.
+func (h *health) avoided(now clock.Millis) bool { return h.unreachable || now < h.avoidUntil }
--- a/engines/memory.go
+++ b/engines/memory.go
@@ -7,37 +7,36 @@
 )
 
 const (
-	// memoryMost bounds the beginnings of prompts that are remembered, about
-	// 200 bytes each.
-	memoryMost = 8192
-	// holdersMost bounds the engines that are remembered for each.
-	holdersMost = 4
+	// maxPrefixes bounds the number of remembered prefixes, about 200 bytes each.
+	maxPrefixes = 8192
+	// maxHolders bounds the engines remembered for each prefix.
+	maxHolders = 4
 )
 
-// memory is where this entry sent the prompts that begin alike, so that an
-// engine can be told who keeps what it lacks. It is a guess: engines give
-// way to newer prompts, and other entries' requests are not in it.
-type memory struct {
+// prefixCache remembers which engines this entry sent prompts with a prefix to, so that
+// another engine can fetch the prefix from one of them. It is only an estimate: engines
+// evict prefixes for newer prompts, and requests of other entries are not included.
+type prefixCache struct {
 	byKey *simplelru.LRU[uint64, []Incarnation]
 }
 
-func newMemory() *memory {
-	// NewLRU fails only for sizes that are not positive.
-	byKey, _ := simplelru.NewLRU[uint64, []Incarnation](memoryMost, nil)
-	return &memory{byKey: byKey}
+func newPrefixCache() *prefixCache {
+	// NewLRU fails only if the size is not positive.
+	byKey, _ := simplelru.NewLRU[uint64, []Incarnation](maxPrefixes, nil)
+	return &prefixCache{byKey: byKey}
 }
 
-// note records that an engine was sent a prompt with these beginnings.
-func (m *memory) note(keys []uint64, engine Incarnation) {
+// record records that an engine was sent a prompt with the given prefixes.
+func (m *prefixCache) record(keys []uint64, engine Incarnation) {
 	for _, k := range keys {
 		holders, _ := m.byKey.Get(k)
 		if len(holders) > 0 && holders[0] == engine {
 			continue
 		}
-		next := make([]Incarnation, 0, min(holdersMost, len(holders)+1))
+		next := make([]Incarnation, 0, min(maxHolders, len(holders)+1))
 		next = append(next, engine)
 		for _, h := range holders {
-			if h != engine && len(next) < holdersMost {
+			if h != engine && len(next) < maxHolders {
 				next = append(next, h)
 			}
 		}
@@ -45,12 +44,12 @@
 	}
 }
 
-// holders returns the engines that were sent a beginning, the latest first.
-func (m *memory) holders(key uint64) []Incarnation {
+// holders returns the engines that were sent a prefix, the latest first.
+func (m *prefixCache) holders(key uint64) []Incarnation {
 	h, _ := m.byKey.Get(key)
 	return h
 }
 
-func (m *memory) holds(key uint64, engine Incarnation) bool {
+func (m *prefixCache) holds(key uint64, engine Incarnation) bool {
 	return slices.Contains(m.holders(key), engine)
 }
--- a/engines/quiet_test.go
+++ b/engines/quiet_test.go
@@ -7,24 +7,24 @@
 	"github.com/weldfall/weldfall/engines"
 )
 
-// An engine that is full may leave what comes without a sign, whatever it is.
-func TestAnEngineIsQuietThatGivesNoSignWithASlotFree(t *testing.T) {
+// A full engine is not silent: it need not send anything before it has a slot free.
+func TestSilentSinceNeedsFreeSlot(t *testing.T) {
 	const sent, now clock.Millis = 1000, 1300
 	for name, tc := range map[string]struct {
 		before func(e *engines.Engine)
 		want   bool
 	}{
-		"never heard":                   {func(*engines.Engine) {}, true},
-		"heard before":                  {func(e *engines.Engine) { e.RecordActivity(sent - 1) }, true},
-		"heard since":                   {func(e *engines.Engine) { e.RecordActivity(sent + 1) }, false},
-		"a slot free, as told before":   {func(e *engines.Engine) { e.RecordLoad(engines.Load{Running: 4}, sent-1) }, true},
-		"full, as told before":          {func(e *engines.Engine) { e.RecordLoad(engines.Load{Running: 8, Waiting: 4}, sent-1) }, false},
-		"told others its load since":    {func(e *engines.Engine) { e.RecordLoad(engines.Load{}, sent+1) }, false},
-		"full of this entry's requests": {func(e *engines.Engine) { start(e, 9, sent-10) }, false},
+		"never active":                      {func(*engines.Engine) {}, true},
+		"active before":                     {func(e *engines.Engine) { e.RecordActivity(sent - 1) }, true},
+		"active since":                      {func(e *engines.Engine) { e.RecordActivity(sent + 1) }, false},
+		"a slot free, as reported before":   {func(e *engines.Engine) { e.RecordLoad(engines.Load{Running: 4}, sent-1) }, true},
+		"full, as reported before":          {func(e *engines.Engine) { e.RecordLoad(engines.Load{Running: 8, Waiting: 4}, sent-1) }, false},
+		"reported its load to others since": {func(e *engines.Engine) { e.RecordLoad(engines.Load{}, sent+1) }, false},
+		"full of this entry's requests":     {func(e *engines.Engine) { beginRequests(e, 9, sent-10) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBook(1)
-			e := b.Get(info(0).ID)
+			r := newRegistry(1)
+			e := r.Get(info(0).ID)
 			e.BeginRequest(sent)
 			tc.before(e)
 			if got := e.SilentSince(sent, now); got != tc.want {
@@ -34,9 +34,9 @@
 	}
 }
 
-// An engine is asked for its health once a second at most, whatever waits there.
-func TestAnEngineIsAskedForItsHealthNowAndThen(t *testing.T) {
-	e := newBook(1).Get(info(0).ID)
+// At most one health check a second is allowed.
+func TestAllowHealthCheckIsRateLimited(t *testing.T) {
+	e := newRegistry(1).Get(info(0).ID)
 	for _, tc := range []struct {
 		now  clock.Millis
 		want bool
@@ -47,7 +47,7 @@
 	}
 }
 
-func start(e *engines.Engine, n int, now clock.Millis) {
+func beginRequests(e *engines.Engine, n int, now clock.Millis) {
 	for range n {
 		e.BeginRequest(now)
 	}
--- a/engines/reading_test.go
+++ b/engines/reading_test.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// loadFactor and loadExtra are the operators' bound for the load of engines, overMost
-	// is the part of requests that may meet an engine over it.
-	loadFactor = 2
-	loadExtra  = 3
-	overMost   = 0.03
-	// partEach is how often an answer goes on.
-	partEach clock.Millis = 50
+	// loadFactor and loadExtra are the operators' bound for the load of engines.
+	// maxOverShare is the share of requests that may arrive at an engine over it.
+	loadFactor   = 2
+	loadExtra    = 3
+	maxOverShare = 0.03
+	// chunkPeriod is the time between two chunks of a response.
+	chunkPeriod clock.Millis = 50
 )
 
-// pool is engines and the entries that send to them, in simulated time. Engines tell their
-// load as an answer begins, and entries tell each other what they heard.
+// pool simulates engines and the entries that send to them. Engines report their load when
+// a response begins, and entries exchange these reports.
 type pool struct {
-	rng     *rand.Rand
-	now     clock.Millis
-	events  []event
-	books   []*engines.Registry
-	engines map[string]*reader
-	// sent is how many requests were sent, over how many of them met an engine over the
-	// operators' bound.
+	rng        *rand.Rand
+	now        clock.Millis
+	events     []event
+	registries []*engines.Registry
+	engines    map[string]*simEngine
+	// sent counts the requests, over those that arrived at an engine over the operators'
+	// bound.
 	sent, over int
 }
 
@@ -39,23 +39,24 @@
 	do func()
 }
 
-// reader is an engine that does nothing else while it reads a prompt.
-type reader struct {
-	// requests is how many it has, readsUntil when it has read all prompts that it was sent.
-	requests   int
-	readsUntil clock.Millis
+// simEngine is an engine that does nothing else while it prefills a prompt.
+type simEngine struct {
+	// requests counts the requests in flight. prefillUntil is when all prompts sent so far
+	// are prefilled.
+	requests     int
+	prefillUntil clock.Millis
 }
 
 func newPool(seed uint64, entries, n int) *pool {
-	p := &pool{rng: rand.New(rand.NewPCG(seed, 0)), engines: map[string]*reader{}}
+	p := &pool{rng: rand.New(rand.NewPCG(seed, 0)), engines: map[string]*simEngine{}}
 	for range entries {
-		b := engines.NewRegistry()
+		r := engines.NewRegistry()
 		for i := range n {
-			b.Put(info(i), 0)
-			p.engines[info(i).ID] = &reader{}
+			r.Put(info(i), 0)
+			p.engines[info(i).ID] = &simEngine{}
 		}
-		b.MarkSynced(0)
-		p.books = append(p.books, b)
+		r.MarkSynced(0)
+		p.registries = append(p.registries, r)
 	}
 	return p
 }
@@ -74,12 +75,11 @@
 	}
 }
 
-// send has an entry send a request whose prompt is read for so long and whose answer
-// takes so long.
-func (p *pool) send(t *testing.T, q engines.Query, reads, answers clock.Millis) {
+// send has a random entry send a request whose prefill and response take the given times.
+func (p *pool) send(t *testing.T, q engines.Query, prefill, response clock.Millis) {
 	t.Helper()
-	b := p.books[p.rng.IntN(len(p.books))]
-	e := choose(t, b, q, p.now).Engine
+	r := p.registries[p.rng.IntN(len(p.registries))]
+	e := choose(t, r, q, p.now).Engine
 	at := p.engines[e.Info().ID]
 	sum := 0
 	for _, r := range p.engines {
@@ -90,22 +90,22 @@
 		p.over++
 	}
 	at.requests++
-	at.readsUntil = max(at.readsUntil, p.now) + reads
+	at.prefillUntil = max(at.prefillUntil, p.now) + prefill
 	e.BeginRequest(p.now)
-	p.at(at.readsUntil, func() {
+	p.at(at.prefillUntil, func() {
 		e.RecordActivity(p.now)
 		e.RecordLoad(engines.Load{Running: at.requests}, p.now)
-		p.end(e, at, p.now+answers)
+		p.end(e, at, p.now+response)
 	})
 }
 
-// end ends a request at a time, or when no prompt is read any more. Until then its answer
-// comes in parts.
-func (p *pool) end(e *engines.Engine, at *reader, t clock.Millis) {
-	p.at(min(t, p.now+partEach), func() {
+// end ends a request at time t, or once no prompt is being prefilled any more. Until then
+// its response arrives in chunks.
+func (p *pool) end(e *engines.Engine, at *simEngine, t clock.Millis) {
+	p.at(min(t, p.now+chunkPeriod), func() {
 		switch {
-		case p.now < at.readsUntil:
-			p.end(e, at, max(t, at.readsUntil))
+		case p.now < at.prefillUntil:
+			p.end(e, at, max(t, at.prefillUntil))
 			return
 		case p.now < t:
 			e.RecordActivity(p.now)
@@ -118,36 +118,36 @@
 	})
 }
 
-// talk has each entry hear the loads that another knows.
-func (p *pool) talk() {
-	for _, b := range p.books {
-		for _, l := range p.books[p.rng.IntN(len(p.books))].RecentLoads(2000, 32, p.now) {
-			b.Get(l.ID).RecordLoad(engines.Load{Running: l.Requests}, p.now-l.Age)
+// exchange has each entry receive the loads known to a random one.
+func (p *pool) exchange() {
+	for _, r := range p.registries {
+		for _, l := range p.registries[p.rng.IntN(len(p.registries))].RecentLoads(2000, 32, p.now) {
+			r.Get(l.ID).RecordLoad(engines.Load{Running: l.Requests}, p.now-l.Age)
 		}
 	}
 }
 
-// Few requests meet an engine over the operators' bound though engines tell nothing while
-// they read a prompt.
+// Few requests arrive at an engine over the operators' bound, although engines report no
+// load during a prefill.
 func TestEnginesThatReadForMomentsKeepToTheBound(t *testing.T) {
-	for _, read := range []clock.Millis{50, 300} {
-		t.Run(fmt.Sprintf("%d ms", read), func(t *testing.T) { playReading(t, read) })
+	for _, prefill := range []clock.Millis{50, 300} {
+		t.Run(fmt.Sprintf("%d ms", prefill), func(t *testing.T) { simulate(t, prefill) })
 	}
 }
 
-// Nor do many where they read for longer than word of them lasts.
+// The same where a prefill takes longer than load reports stay valid.
 func TestEnginesThatReadForSecondsKeepToTheBound(t *testing.T) {
-	for _, read := range []clock.Millis{1000, 2000} {
-		t.Run(fmt.Sprintf("%d ms", read), func(t *testing.T) { playReading(t, read) })
+	for _, prefill := range []clock.Millis{1000, 2000} {
+		t.Run(fmt.Sprintf("%d ms", prefill), func(t *testing.T) { simulate(t, prefill) })
 	}
 }
 
-// playReading plays pools some of whose prompts are read for so long.
-func playReading(t *testing.T, read clock.Millis) {
+// simulate runs pools in which some prompts take prefill to process.
+func simulate(t *testing.T, prefill clock.Millis) {
 	t.Helper()
 	const day, entries, n, perSecond = 30_000, 27, 50, 190
-	// longShare has engines read long prompts for half of their time.
-	longShare := min(0.3, 140/float64(read))
+	// With longShare, engines spend half of their time on the prefill of long prompts.
+	longShare := min(0.3, 140/float64(prefill))
 	for seed := range uint64(3) {
 		p := newPool(seed, entries, n)
 		q := query()
@@ -156,19 +156,19 @@
 		for at := 0.0; at < day; at += p.rng.ExpFloat64() * 1000 / perSecond {
 			p.at(clock.Millis(at), func() {
 				q.Keys = []uint64{p.rng.Uint64N(1000)}
-				reads := clock.Millis(10)
+				d := clock.Millis(10)
 				if p.rng.Float64() < longShare {
-					reads = read
+					d = prefill
 				}
-				p.send(t, q, reads, clock.Millis(p.rng.ExpFloat64()*500))
+				p.send(t, q, d, clock.Millis(p.rng.ExpFloat64()*500))
 			})
 		}
 		for at := clock.Millis(0); at < day; at += 100 {
-			p.at(at, p.talk)
+			p.at(at, p.exchange)
 		}
 		p.run()
-		if float64(p.over) > overMost*float64(p.sent) {
-			t.Errorf("seed %d: got %d of %d requests at engines over the bound, want at most %.0f", seed, p.over, p.sent, overMost*float64(p.sent))
+		if float64(p.over) > maxOverShare*float64(p.sent) {
+			t.Errorf("seed %d: got %d of %d requests at engines over the bound, want at most %.0f", seed, p.over, p.sent, maxOverShare*float64(p.sent))
 		}
 	}
 }
--- a/engines/recent.go
+++ b/engines/recent.go
@@ -7,25 +7,25 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// recent is the engines that told a load, the latest word first. To keep it in order
-// costs a few steps a word, since most words are newer than all others; to sort all 10,000
-// engines for each message to a peer took 4.6 ms (BenchmarkLoads, one core), and to read off
-// the first few takes 2 µs.
-type recent struct {
+// reportList is a linked list of the engines that have reported a load, latest report
+// first. Inserting takes a few steps, since most reports are newer than all others.
+// Sorting all of 10,000 engines for each message to a peer took 4.6 ms; reading the first
+// few takes 2 µs (BenchmarkLoads, one core).
+type reportList struct {
 	first *Engine
 }
 
-// place puts an engine where its word belongs.
-func (r *recent) place(e *Engine) {
-	r.take(e)
+// insert puts an engine, which may be on the list already, at the place of its report.
+func (r *reportList) insert(e *Engine) {
+	r.remove(e)
 	var before *Engine
-	at := r.first
-	for at != nil && at.reportedAt > e.reportedAt {
-		before, at = at, at.older
+	next := r.first
+	for next != nil && next.reportedAt > e.reportedAt {
+		before, next = next, next.older
 	}
-	e.newer, e.older = before, at
-	if at != nil {
-		at.newer = e
+	e.newer, e.older = before, next
+	if next != nil {
+		next.newer = e
 	}
 	if before == nil {
 		r.first = e
@@ -34,8 +34,8 @@
 	before.older = e
 }
 
-// take takes an engine out, if it is in.
-func (r *recent) take(e *Engine) {
+// remove removes an engine if it is on the list.
+func (r *reportList) remove(e *Engine) {
 	if e.older != nil {
 		e.older.newer = e.newer
 	}
@@ -48,24 +48,24 @@
 	e.newer, e.older = nil, nil
 }
 
-// ReportedLoad is what an engine said of its load.
+// ReportedLoad is the latest load that an engine reported.
 type ReportedLoad struct {
 	Incarnation
 	Requests int
 	Age      clock.Millis
 }
 
-// RecentLoads returns the n freshest loads that are at most limit old, those of one age sorted
-// by id.
-func (b *Registry) RecentLoads(limit clock.Millis, n int, now clock.Millis) []ReportedLoad {
+// RecentLoads returns the n latest load reports that are not older than maxAge, sorted by
+// age and ID.
+func (r *Registry) RecentLoads(maxAge clock.Millis, n int, now clock.Millis) []ReportedLoad {
 	if n <= 0 {
 		return nil
 	}
 	var out []ReportedLoad
-	for e := b.recent.first; e != nil; e = e.older {
+	for e := r.reports.first; e != nil; e = e.older {
 		age := now - e.reportedAt
-		// The last of one age are all looked at.
-		if age > limit || (len(out) >= n && age > out[len(out)-1].Age) {
+		// Include all reports of the same age, so that sorting decides which are cut.
+		if age > maxAge || (len(out) >= n && age > out[len(out)-1].Age) {
 			break
 		}
 		out = append(out, ReportedLoad{Incarnation: e.info.Incarnation(), Requests: e.reportedRequests, Age: age})
--- a/engines/same_test.go
+++ b/engines/same_test.go
@@ -13,10 +13,10 @@
 	"github.com/weldfall/weldfall/engines"
 )
 
-// drawBook draws a book of up to most engines after some time of use.
-func drawBook(t *rapid.T, most int, now clock.Millis) *engines.Registry {
-	b := engines.NewRegistry()
-	n := rapid.IntRange(1, most).Draw(t, "engines")
+// drawRegistry draws a registry of up to maxEngines engines after some time of use.
+func drawRegistry(t *rapid.T, maxEngines int, now clock.Millis) *engines.Registry {
+	r := engines.NewRegistry()
+	n := rapid.IntRange(1, maxEngines).Draw(t, "engines")
 	busy := rapid.IntRange(0, 40).Draw(t, "busy")
 	for i := range n {
 		in := info(i)
@@ -26,8 +26,8 @@
 		if rapid.IntRange(0, 9).Draw(t, "cold") == 0 {
 			in.WarmupLeft = 5000
 		}
-		b.Put(in, now-clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "listed")))
-		e := b.Get(in.ID)
+		r.Put(in, now-clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "listed")))
+		e := r.Get(in.ID)
 		for range rapid.IntRange(0, busy/8).Draw(t, "own") {
 			e.BeginRequest(now - 100)
 		}
@@ -40,21 +40,21 @@
 			e.EndRequest(rapid.SampledFrom([]engines.Outcome{engines.Succeeded, engines.Failed, engines.Refused, engines.Unreachable}).Draw(t, "outcome"), now-100)
 		}
 		if rapid.IntRange(0, 19).Draw(t, "doubt") == 0 {
-			b.MarkMissing(in.ID)
+			r.MarkMissing(in.ID)
 		}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "evacuation") == 0 {
-		b.SetEvacuatedHalls([]string{"hall-1"}, now-50)
+		r.SetEvacuatedHalls([]string{"hall-1"}, now-50)
 	}
-	return b
+	return r
 }
 
-// A choice that looks at no more than it needs is the choice that looks at all, from one
-// engine to as many as need several passes.
-func TestTheChoiceIsThatOfAFullSort(t *testing.T) {
+// Choose returns the same result as the reference implementation, from one engine up to
+// as many as need several passes over the ranking.
+func TestChooseMatchesReference(t *testing.T) {
 	const now clock.Millis = 100_000
 	rapid.Check(t, func(t *rapid.T) {
-		b := drawBook(t, 150, now)
+		r := drawRegistry(t, 150, now)
 		for range rapid.IntRange(1, 30).Draw(t, "requests") {
 			q := query(rapid.Uint64Range(1, 5).Draw(t, "short"), rapid.Uint64Range(6, 50).Draw(t, "long"))
 			if rapid.IntRange(0, 4).Draw(t, "plain") == 0 {
@@ -69,8 +69,8 @@
 			if rapid.Bool().Draw(t, "repeat") {
 				q.Tried = []string{info(rapid.IntRange(0, 5).Draw(t, "tried")).ID}
 			}
-			want, wantOK := b.ChooseSorted(q, now)
-			got, ok := b.Choose(q, now)
+			want, wantOK := r.ChooseSorted(q, now)
+			got, ok := r.Choose(q, now)
 			if ok != wantOK || got.Engine != want.Engine || got.Basis != want.Basis || got.PrefixSent != want.PrefixSent || got.Source != want.Source {
 				t.Fatalf("got %v %+v, want %v %+v", ok, got, wantOK, want)
 			}
@@ -84,54 +84,54 @@
 	})
 }
 
-// The freshest loads are those that a sort of all finds, whatever the order in which they
-// came.
-func TestTheFreshestLoadsAreThoseOfASort(t *testing.T) {
+// RecentLoads returns the same loads as a sort of all, in whatever order they were
+// reported.
+func TestRecentLoadsMatchesSort(t *testing.T) {
 	const now clock.Millis = 100_000
 	rapid.Check(t, func(t *rapid.T) {
-		b := drawBook(t, 60, now)
-		told := map[string]engines.ReportedLoad{}
-		for _, l := range b.RecentLoads(now, 1000, now) {
-			told[l.ID] = l
+		r := drawRegistry(t, 60, now)
+		reported := map[string]engines.ReportedLoad{}
+		for _, l := range r.RecentLoads(now, 1000, now) {
+			reported[l.ID] = l
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "words") {
 			id := info(rapid.IntRange(0, 59).Draw(t, "engine")).ID
-			e := b.Get(id)
+			e := r.Get(id)
 			if e == nil {
 				continue
 			}
 			if rapid.IntRange(0, 9).Draw(t, "gone") == 0 {
-				b.Remove(id)
-				delete(told, id)
+				r.Remove(id)
+				delete(reported, id)
 				continue
 			}
 			age := clock.Millis(rapid.IntRange(0, 20).Draw(t, "age"))
-			if was, ok := told[id]; ok && was.Age <= age {
+			if was, ok := reported[id]; ok && was.Age <= age {
 				continue
 			}
 			e.RecordLoad(engines.Load{Running: int(age)}, now-age)
-			told[id] = engines.ReportedLoad{Incarnation: e.Info().Incarnation(), Requests: int(age), Age: age}
+			reported[id] = engines.ReportedLoad{Incarnation: e.Info().Incarnation(), Requests: int(age), Age: age}
 		}
 		limit := clock.Millis(rapid.IntRange(0, 30).Draw(t, "limit"))
 		n := rapid.IntRange(0, 20).Draw(t, "n")
 		var want []engines.ReportedLoad
-		for _, l := range told {
+		for _, l := range reported {
 			if l.Age <= limit {
 				want = append(want, l)
 			}
 		}
 		slices.SortFunc(want, func(a, b engines.ReportedLoad) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID)) })
 		want = want[:min(n, len(want))]
-		if got := b.RecentLoads(limit, n, now); !slices.Equal(got, want) {
+		if got := r.RecentLoads(limit, n, now); !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
 }
 
-// What fades does so by halves, at each moment.
-func TestFadingIsByHalves(t *testing.T) {
+// The tabulated decay equals the exact one at all ages.
+func TestDecayIsExact(t *testing.T) {
 	for d := clock.Millis(0); d < 200_000; d += 7 {
-		if got := engines.FadingError(d); got > 1e-15 {
+		if got := engines.DecayError(d); got > 1e-15 {
 			t.Fatalf("after %d ms: got an error of %g, want none", d, got)
 		}
 	}
--- a/engines/source.go
+++ b/engines/source.go
@@ -3,32 +3,33 @@
 import "github.com/weldfall/weldfall/common/clock"
 
 const (
-	// youth is for how long an engine that joined is taken to lack what its
-	// place in the rankings would make it keep: most chats that are going on
+	// newEnginePeriod is for how long an engine that joined is assumed to lack the
+	// prefixes that its place in the rankings would give it. Most chats in progress
 	// return within this time.
-	youth clock.Millis = 15_000
-	// soundFor bounds the age of the last sign of an engine that proves it reachable.
-	soundFor clock.Millis = 6000
+	newEnginePeriod clock.Millis = 15_000
+	// maxActivityAge is the highest age of an engine's last activity that shows that the
+	// engine is reachable.
+	maxActivityAge clock.Millis = 6000
 )
 
-// source returns the engine that most likely keeps more of the prompt than
-// the chosen one, nil if none is likely to. What this entry sent comes first;
-// for prompts that other entries sent, the ranking tells where these put them.
-// Leaving and evacuated engines still give what they have. A wrong guess costs the
-// engine one question.
-func (b *Registry) source(q Query, order *ranking, chosen *Engine, now clock.Millis) *Engine {
+// fetchSource returns the engine that most likely has more of the prompt cached than the
+// chosen one, or nil if none is likely to. Engines that this entry sent the prefix come
+// first; for prompts that other entries sent, the ranking shows where they sent them.
+// Draining and evacuated engines can still be fetched from. A wrong guess costs the
+// engine one query.
+func (r *Registry) fetchSource(q Query, order *ranking, chosen *Engine, now clock.Millis) *Engine {
 	last := len(q.Keys) - 1
 	for i := last; i >= 0; i-- {
-		if b.keeps(chosen, q.Keys[i], now) {
+		if r.likelyCached(chosen, q.Keys[i], now) {
 			return nil
 		}
-		for _, n := range b.memory.holders(q.Keys[i]) {
-			if e := b.Find(n); e != nil && e != chosen && e.info.Service == q.Service && b.sound(e, q.MaxSilence, now) {
+		for _, n := range r.prefixes.holders(q.Keys[i]) {
+			if e := r.Find(n); e != nil && e != chosen && e.info.Service == q.Service && r.canServeFetch(e, q.MaxSilence, now) {
 				return e
 			}
 		}
 		if i == last {
-			if e := b.keeper(order, q, chosen, now); e != nil {
+			if e := r.rankedHolder(order, q, chosen, now); e != nil {
 				return e
 			}
 		}
@@ -36,68 +37,74 @@
 	return nil
 }
 
-// keeper returns the engine to which other entries most likely sent a prompt
-// before: one that ranks before the chosen one and is left out, or else the
-// next of its homes, which were also those before the chosen one joined.
-func (b *Registry) keeper(order *ranking, q Query, chosen *Engine, now clock.Millis) *Engine {
+// rankedHolder returns the engine that other entries most likely sent the prompt to
+// before. That is one that ranks before the chosen engine and was passed over, or else the
+// next home in the ranking, which was a home already before the chosen engine joined.
+func (r *Registry) rankedHolder(order *ranking, q Query, chosen *Engine, now clock.Millis) *Engine {
 	i := 0
 	for ; order.has(i); i++ {
-		e := order.in[order.at(i)]
+		e := order.in[order.index(i)]
 		if e == chosen {
 			break
 		}
-		if b.sound(e, q.MaxSilence, now) {
+		if r.canServeFetch(e, q.MaxSilence, now) {
 			return e
 		}
 	}
-	if homes(q.Tokens) == 1 && !chosen.young(now) {
+	if homeCount(q.Tokens) == 1 && !chosen.isNew(now) {
 		return nil
 	}
 	for i++; order.has(i); i++ {
-		if e := order.in[order.at(i)]; !e.young(now) && b.sound(e, q.MaxSilence, now) {
+		if e := order.in[order.index(i)]; !e.isNew(now) && r.canServeFetch(e, q.MaxSilence, now) {
 			return e
 		}
 	}
 	return nil
 }
 
-// keeps reports whether an engine most likely keeps a beginning that this entry
-// sent it. One that was evacuated meanwhile may not, if another had it later.
-func (b *Registry) keeps(e *Engine, key uint64, now clock.Millis) bool {
+// likelyCached reports whether an engine most likely still has a prefix that this entry
+// sent it. An engine in a reopened data hall may not, if another engine got the prefix
+// later.
+func (r *Registry) likelyCached(e *Engine, key uint64, now clock.Millis) bool {
 	n := e.info.Incarnation()
-	if !b.memory.holds(key, n) {
+	if !r.prefixes.holds(key, n) {
 		return false
 	}
-	return !e.returned(now) || b.memory.holders(key)[0] == n
+	return !e.recentlyReopened(now) || r.prefixes.holders(key)[0] == n
 }
 
-// young reports whether an engine lacks what its place in the rankings would make
-// it keep.
-func (e *Engine) young(now clock.Millis) bool { return now-e.listedAt < youth || e.returned(now) }
+// isNew reports whether an engine may still lack the prefixes that its place in the
+// rankings would give it.
+func (e *Engine) isNew(now clock.Millis) bool {
+	return now-e.listedAt < newEnginePeriod || e.recentlyReopened(now)
+}
 
-// returned reports whether an engine's data hall was taken back lately.
-func (e *Engine) returned(now clock.Millis) bool { return e.reopenedAt > 0 && now-e.reopenedAt < youth }
+// recentlyReopened reports whether the evacuation of an engine's data hall ended lately.
+func (e *Engine) recentlyReopened(now clock.Millis) bool {
+	return e.reopenedAt > 0 && now-e.reopenedAt < newEnginePeriod
+}
 
-// sound reports whether an engine answers, as far as is known.
-func (b *Registry) sound(e *Engine, silence, now clock.Millis) bool {
-	if e.invalid || e.ousted() || e.health.held(now) || e.silence(now) > silence {
+// canServeFetch reports whether an engine is likely to respond to a fetch.
+func (r *Registry) canServeFetch(e *Engine, maxSilence, now clock.Millis) bool {
+	if e.invalid || e.displaced() || e.health.avoided(now) || e.silence(now) > maxSilence {
 		return false
 	}
-	if since, ok := b.evacuated[e.info.Hall]; ok && e.listedAt > since {
-		// It came when nothing was sent there any more.
+	if since, ok := r.evacuated[e.info.Hall]; ok && e.listedAt > since {
+		// It joined during the evacuation and was never sent a request.
 		return false
 	}
-	heard := e.lastActiveAt
+	activeAt := e.lastActiveAt
 	if e.hasReport {
-		heard = max(heard, e.reportedAt)
+		activeAt = max(activeAt, e.reportedAt)
 	}
-	return heard > 0 && (now-heard < soundFor || b.vouched(e, now))
+	return activeAt > 0 && (now-activeAt < maxActivityAge || r.listedInEvacuation(e, now))
 }
 
-// vouched reports whether an evacuated engine is there though nothing is sent to
-// it that could bring a sign: the list says so. It is worth asking while the
-// chats that it had return, unless it started since and had none.
-func (b *Registry) vouched(e *Engine, now clock.Millis) bool {
-	since, ok := b.evacuated[e.info.Hall]
-	return ok && now-since < youth && e.listedAt <= since
+// listedInEvacuation reports whether the listing alone shows that an engine is there. That
+// holds during an evacuation, when no requests are sent to the engine that would show
+// activity, for as long as the chats it had return. It does not hold for an engine that
+// was listed since, which had none.
+func (r *Registry) listedInEvacuation(e *Engine, now clock.Millis) bool {
+	since, ok := r.evacuated[e.info.Hall]
+	return ok && now-since < newEnginePeriod && e.listedAt <= since
 }
