--- a/gate/account.go
+++ b/gate/account.go
@@ -79,9 +79,9 @@
 		g.durations.RecordResponse(c.route.Name, now-c.start)
 	}
 	attrs := []any{
-		"request", c.id, "service", c.service, "engine", engine, "attempts", len(c.tried), "how", c.how, "kept", c.kept, "fetched", c.fetched, "dearer", c.dearer, "read_us", math.Round(c.readTime * microsPerMilli),
-		"load", tenths(c.load), "mean", tenths(c.mean), "status", c.reply.Status(),
-		"late", c.late(now), "first_ms", max(0, c.reply.FirstAt()-c.start), "pause_ms", c.reply.LongestPause(), "total_ms", now - c.start, "bytes", c.reply.BytesWritten(),
+		"request", c.id, "service", c.service, "engine", engine, "attempts", len(c.tried), "how", c.chosenBy, "kept", c.sentBefore, "fetched", c.hasSource, "dearer", c.fetchCostsMore, "read_us", math.Round(c.prefillMillis * microsPerMilli),
+		"load", tenths(c.engineLoad), "mean", tenths(c.meanLoad), "status", c.reply.Status(),
+		"late", c.missedGoal(now), "first_ms", max(0, c.reply.FirstAt()-c.start), "pause_ms", c.reply.LongestPause(), "total_ms", now - c.start, "bytes", c.reply.BytesWritten(),
 	}
 	if a := c.reply.Observed(); a.Framing != "" {
 		attrs = append(attrs, "framed", a.Framing, "ended", a.End, "partial", a.PartialBytes)
@@ -100,15 +100,15 @@
 		g.log.Info("answered", attrs...)
 		return
 	}
-	attrs = append(attrs, "cut", c.reply.Aborted(), "left_ms", c.until-now)
+	attrs = append(attrs, "cut", c.reply.Aborted(), "left_ms", c.giveUpAt-now)
 	if c.err != nil {
-		attrs = append(attrs, "filter", c.filter, "verdict", c.err.Verdict(), "reason", c.err.Reason(), "error", c.err.Message())
+		attrs = append(attrs, "filter", c.failedFilter, "verdict", c.err.Verdict(), "reason", c.err.Reason(), "error", c.err.Message())
 	}
 	g.log.Warn("failed", attrs...)
 }
 
-// logAgain logs why a request goes to another engine, or why not.
-func (g *Gate) logAgain(c *call, o attempt.Outcome, e engines.Info, granted grant, left clock.Millis) {
+// logAttempt logs why a request goes to another engine, or why not.
+func (g *Gate) logAttempt(c *call, o attempt.Outcome, e engines.Info, granted grant, left clock.Millis) {
 	if granted.allowed() {
 		g.counts.repeats.Inc()
 	}
@@ -123,6 +123,6 @@
 	case attempt.Failed:
 		cause = "status " + strconv.Itoa(o.Answer.Status)
 	}
-	g.log.Info("attempt_ended", "request", c.id, "service", c.service, "engine", e.ID, "outcome", kindOf(o), "cause", cause,
+	g.log.Info("attempt_ended", "request", c.id, "service", c.service, "engine", e.ID, "outcome", outcomeName(o), "cause", cause,
 		"again", granted.allowed(), "repeat", granted, "ran", c.ran, "allowed", c.route.Attempts, "left_ms", left)
 }
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// coldPart is how much of what a cold engine may get the entries share out;
+	// sharedPart is how much of what a cold engine may get the entries share out;
 	// the rest is for entries that do not yet know of the same others.
-	coldPart = 0.85
-	// fleetKnownAfter is how long an entry takes at most to hear of all others: a
+	sharedPart = 0.85
+	// discoveryTime is how long an entry takes at most to hear of all others: a
 	// dozen rounds of asking. Until then, and while it knows none, it takes it
 	// that there are usualEntries.
-	fleetKnownAfter clock.Millis = 6000
-	usualEntries                 = extraShare
+	discoveryTime  clock.Millis = 6000
+	assumedEntries              = minRetryParts
 )
 
 // SetOthers implements peers.Facts. An entry that loses sight of others cannot
@@ -25,40 +25,40 @@
 func (g *Gate) SetOthers(self string, others []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if most := len(others) + 1; most > g.mostEntries {
-		g.mostEntries = most
-		g.boundAllConns(g.table.Load())
+	if most := len(others) + 1; most > g.maxEntries {
+		g.maxEntries = most
+		g.limitAllConns(g.table.Load())
 	}
-	least := g.mostEntries
-	if len(others) == 0 || g.clk.Now()-g.began <= fleetKnownAfter {
-		least = max(least, usualEntries)
+	least := g.maxEntries
+	if len(others) == 0 || g.clk.Now()-g.startedAt <= discoveryTime {
+		least = max(least, assumedEntries)
 	}
-	if g.parts != nil && slices.Equal(others, g.others) && least == g.leastEntries {
+	if g.warmupParts != nil && slices.Equal(others, g.others) && least == g.minEntries {
 		return
 	}
-	g.others, g.leastEntries = others, least
-	g.shares, g.parts = peers.NewShares(self, others, least), map[string]int{}
+	g.others, g.minEntries = others, least
+	g.shares, g.warmupParts = peers.NewShares(self, others, least), map[string]int{}
 }
 
-// cold returns what holds for cold engines of a request's service. The caller
+// warmup returns what holds for warmup engines of a request's service. The caller
 // holds mu.
-func (g *Gate) cold(c *call) engines.Cold {
+func (g *Gate) warmup(c *call) engines.Cold {
 	s, ok := c.table.Service(c.service)
 	b := g.bounds()
 	if !ok || s.Warmup <= 0 || b.WarmupOverrun+b.WarmupExtra <= 0 {
 		return engines.Cold{}
 	}
-	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.coldMost(s, id) }}
+	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.warmupQuota(s, id) }}
 }
 
-// coldMost is this entry's part of what a cold engine may get. The caller holds
+// warmupQuota is this entry's part of what a cold engine may get. The caller holds
 // mu.
-func (g *Gate) coldMost(s table.Service, id string) int {
-	part, ok := g.parts[id]
+func (g *Gate) warmupQuota(s table.Service, id string) int {
+	part, ok := g.warmupParts[id]
 	if !ok {
 		b := g.bounds()
-		part = g.shares.Of(int(coldPart*(s.WarmupRate*b.WarmupOverrun+b.WarmupExtra)), id)
-		g.parts[id] = part
+		part = g.shares.Of(int(sharedPart*(s.WarmupRate*b.WarmupOverrun+b.WarmupExtra)), id)
+		g.warmupParts[id] = part
 	}
 	return part
 }
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// darkLimit is how long an engine with a free slot may take to say that it is healthy.
-	darkLimit clock.Millis = 100
-	// askAfter is the part of its goal that an attempt is left without a sign at least
+	// healthCheckTimeout is how long an engine with a free slot may take to say that it is healthy.
+	healthCheckTimeout clock.Millis = 100
+	// healthCheckGoalPart is the part of its goal that an attempt is left without a sign at least
 	// before its engine is asked.
-	askAfter = 0.5
+	healthCheckGoalPart = 0.5
 )
 
-// awaitSign finds out whether an engine is dark that leaves an attempt without a sign for
+// watchForSilence finds out whether an engine is dark that leaves an attempt without a sign for
 // a part of its goal, and for longer than the latest answers of its route took. The function that it returns ends that, and must be called when the
 // head of the answer has come, or none will.
-func (g *Gate) awaitSign(ctx context.Context, c *call, e engines.Info, sent clock.Millis) (answered func()) {
+func (g *Gate) watchForSilence(ctx context.Context, c *call, e engines.Info, sent clock.Millis) (answered func()) {
 	service, _ := c.table.Service(c.service)
 	if !strings.HasPrefix(service.HealthPath, "/") {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	over := make(chan struct{})
-	wait := max(clock.Millis(askAfter*float64(c.route.GoalOrUsual())), g.durations.MaxTimeToFirstOutput(c.route))
+	wait := max(clock.Millis(healthCheckGoalPart*float64(c.route.GoalOrUsual())), g.durations.MaxTimeToFirstOutput(c.route))
 	stop := clock.AfterUnless(wait, func() {
 		defer close(over)
-		if g.isDark(ctx, e, service.HealthPath, sent) {
+		if g.isUnresponsive(ctx, e, service.HealthPath, sent) {
 			g.guard.RecordUnresponsive(c.suspect(), e.Incarnation().Mark(), e.ID, sent)
 		}
 	})
@@ -44,10 +44,10 @@
 	}
 }
 
-// isDark reports whether an engine gives no sign of life since a time: nothing that it was
+// isUnresponsive reports whether an engine gives no sign of life since a time: nothing that it was
 // sent is answered, and its machine takes connections. An entry that hears no others cannot
 // tell.
-func (g *Gate) isDark(ctx context.Context, e engines.Info, healthPath string, since clock.Millis) bool {
+func (g *Gate) isUnresponsive(ctx context.Context, e engines.Info, healthPath string, since clock.Millis) bool {
 	if g.contact() == quarantine.Isolated {
 		return false
 	}
@@ -60,12 +60,12 @@
 		return false
 	}
 	req := &upstream.Request{Method: http.MethodGet, URI: healthPath, Host: e.Addr, Header: http.Header{g.wire.ExpectEngine: {e.ID}}}
-	return g.pool.Dark(ctx, e.Addr, req, since, darkLimit)
+	return g.pool.Dark(ctx, e.Addr, req, since, healthCheckTimeout)
 }
 
-// passOverDark keeps the request from engines that went dark under it: what it does there
+// skipUnresponsive keeps the request from engines that went dark under it: what it does there
 // shows nothing more.
-func (g *Gate) passOverDark(c *call) {
+func (g *Gate) skipUnresponsive(c *call) {
 	lives := g.guard.UnresponsiveIncarnations(c.suspect())
 	if len(lives) == 0 {
 		return
--- a/gate/epoch.go
+++ b/gate/epoch.go
@@ -6,23 +6,23 @@
 	// rewriteFor is how long a store that came back from an older copy may lack what
 	// operators and engines had written: they write it again within some two seconds.
 	rewriteFor clock.Millis = 2500
-	// aheadFor is how long word of an entry with a newer table holds off a proof of ours
+	// peerAheadFor is how long word of an entry with a newer table holds off a proof of ours
 	// by a store that came back: a few rounds of asking. It does so for no longer than
 	// aheadMost after the beginning of the epoch, since the operators may never write
 	// that version again.
-	aheadFor  clock.Millis = 2000
-	aheadMost clock.Millis = 10_000
-	// distrustFor is how long others' word of the store's revision is passed over after
+	peerAheadFor    clock.Millis = 2000
+	peerAheadMaxAge clock.Millis = 10_000
+	// ignorePeersFor is how long others' word of the store's revision is passed over after
 	// the store was found to be behind it.
-	distrustFor clock.Millis = 20_000
+	ignorePeersFor clock.Millis = 20_000
 )
 
-// reached is how far the store has come by its answers and by the word of others.
-type reached struct {
+// storeProgress is how far the store has come by its answers and by the word of others.
+type storeProgress struct {
 	// revision is the newest of the epoch.
 	epoch, revision int64
-	// distrustUntil is until when others' word is passed over.
-	distrustUntil clock.Millis
+	// ignorePeersUntil is until when others' word is passed over.
+	ignorePeersUntil clock.Millis
 }
 
 // confirm records that by an answer of an epoch the table and the evacuations in force
@@ -36,13 +36,13 @@
 	if !g.epoch.Proves(epoch, at) || g.behindOthers(at) {
 		return
 	}
-	g.published.Confirm(at)
+	g.tableFreshness.Confirm(at)
 }
 
 // behindOthers reports whether another entry lately had a newer table than ours which the
 // store, soon after it came back, does not show. The caller holds mu.
 func (g *Gate) behindOthers(at clock.Millis) bool {
-	return g.epoch.Later() && g.epoch.Age(at) < aheadMost && g.aheadAt > 0 && at-g.aheadAt < aheadFor
+	return g.epoch.Later() && g.epoch.Age(at) < peerAheadMaxAge && g.peerAheadAt > 0 && at-g.peerAheadAt < peerAheadFor
 }
 
 // StoreEpoch records that an answer to what was asked at the given time was of a later
@@ -71,21 +71,21 @@
 	return missed
 }
 
-// hearEpoch takes the epoch that a peer knew, and since when. It reports whether the peer
+// receiveEpoch takes the epoch that a peer knew, and since when. It reports whether the peer
 // speaks of the same as this entry. Of a later one the store is asked, once in aheadFor,
 // since the peer may lie. The caller holds mu.
-func (g *Gate) hearEpoch(epoch int64, since, now clock.Millis) bool {
-	if g.epoch.Told(epoch, since) && now-g.toldEpochAt > aheadFor {
-		g.epochMissed, g.toldEpochAt = true, now
+func (g *Gate) receiveEpoch(epoch int64, since, now clock.Millis) bool {
+	if g.epoch.Told(epoch, since) && now-g.epochReportedAt > peerAheadFor {
+		g.epochMissed, g.epochReportedAt = true, now
 	}
 	return epoch == g.epoch.Number()
 }
 
-// hearProof takes word of a peer that speaks of the same epoch, table and evacuations as
+// receiveProof takes word of a peer that speaks of the same epoch, table and evacuations as
 // this entry, that they were proved to be true at the given time. The caller holds mu.
-func (g *Gate) hearProof(at clock.Millis) {
+func (g *Gate) receiveProof(at clock.Millis) {
 	if !g.epoch.Doubts(at) {
-		g.published.Confirm(at)
+		g.tableFreshness.Confirm(at)
 	}
 }
 
@@ -93,7 +93,7 @@
 func (g *Gate) StoreReached(epoch, revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.reachStore(epoch, revision)
+	g.advanceRevision(epoch, revision)
 }
 
 // StoreBehind records that the store was found at a revision that is older than it was
@@ -101,13 +101,13 @@
 func (g *Gate) StoreBehind(epoch, revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.reached = reached{epoch: epoch, revision: revision, distrustUntil: g.clk.Now() + distrustFor}
+	g.progress = storeProgress{epoch: epoch, revision: revision, ignorePeersUntil: g.clk.Now() + ignorePeersFor}
 }
 
-// hearRevision takes the revision of an epoch that a peer knew. The caller holds mu.
-func (g *Gate) hearRevision(epoch, revision int64) {
-	if g.clk.Now() >= g.reached.distrustUntil {
-		g.reachStore(epoch, revision)
+// receiveRevision takes the revision of an epoch that a peer knew. The caller holds mu.
+func (g *Gate) receiveRevision(epoch, revision int64) {
+	if g.clk.Now() >= g.progress.ignorePeersUntil {
+		g.advanceRevision(epoch, revision)
 	}
 }
 
@@ -119,22 +119,22 @@
 	return g.epoch.Number(), g.storeRevision()
 }
 
-// reachStore records a revision of an epoch that this or another entry has met. The caller
+// advanceRevision records a revision of an epoch that this or another entry has met. The caller
 // holds mu.
-func (g *Gate) reachStore(epoch, revision int64) {
+func (g *Gate) advanceRevision(epoch, revision int64) {
 	switch {
 	case epoch != g.epoch.Number():
-	case epoch != g.reached.epoch:
-		g.reached.epoch, g.reached.revision = epoch, revision
+	case epoch != g.progress.epoch:
+		g.progress.epoch, g.progress.revision = epoch, revision
 	default:
-		g.reached.revision = max(g.reached.revision, revision)
+		g.progress.revision = max(g.progress.revision, revision)
 	}
 }
 
 // storeRevision is StoreRevision for a caller that holds mu.
 func (g *Gate) storeRevision() int64 {
-	if g.reached.epoch != g.epoch.Number() {
+	if g.progress.epoch != g.epoch.Number() {
 		return 0
 	}
-	return g.reached.revision
+	return g.progress.revision
 }
--- a/gate/evacuate.go
+++ b/gate/evacuate.go
@@ -53,7 +53,7 @@
 // now. The caller holds mu.
 func (g *Gate) knowsEvacuations(now clock.Millis) bool {
 	bound := g.bounds().Evacuation
-	return bound == 0 || g.published.Within(bound-evacuationMargin, now)
+	return bound == 0 || g.tableFreshness.Within(bound-evacuationMargin, now)
 }
 
 // noEngine is the refusal of a request for which there is no engine. The caller
@@ -65,8 +65,8 @@
 	return verdict.New(c.verdict(), verdict.NoEngine, "no engine of %s is left, %d tried", c.service, len(c.tried)).WithRetryAfter(retrySoon)
 }
 
-// sumOf returns a sum over names that differs where the names do, zero for none.
-func sumOf(names []string) uint64 {
+// checksum returns a sum over names that differs where the names do, zero for none.
+func checksum(names []string) uint64 {
 	if len(names) == 0 {
 		return 0
 	}
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -9,44 +9,44 @@
 var _ peers.Facts = (*Gate)(nil)
 
 const (
-	// dueOfRevocation is the part of the bound for revoked keys after which the
+	// revocationDuePart is the part of the bound for revoked keys after which the
 	// table must be confirmed: keys are then good for three fifths of the bound
 	// after the last source of news is gone, which is as long as requests with
 	// keys are expected to be served.
-	dueOfRevocation = 0.34
-	// dueOfEvacuation is the same part of the bound for evacuations, so that one
+	revocationDuePart = 0.34
+	// evacuationDuePart is the same part of the bound for evacuations, so that one
 	// read serves both.
-	dueOfEvacuation = dueOfRevocation
-	// dueOfChange is the part of the bound for changes after which it must be
+	evacuationDuePart = revocationDuePart
+	// changeDuePart is the part of the bound for changes after which it must be
 	// confirmed, so that a change of which no watch told is found in time.
-	dueOfChange = 0.8
-	// dueEarly is the part of that time after which one of the entries by chance
+	changeDuePart = 0.8
+	// randomDuePart is the part of that time after which one of the entries by chance
 	// confirms the table for all, and dueFirst the part after which the first of
 	// them does; the rest is for word to reach the others.
-	dueEarly = 0.85
-	dueFirst = 0.35
-	// dueFirstOfMany is that of the first of more entries than manyEntries, to which its
+	randomDuePart = 0.85
+	firstDuePart  = 0.35
+	// firstOfManyDuePart is that of the first of more entries than manyEntries, to which its
 	// word takes several steps: with a confirmation each 0.65 s the word of one of 103 is
 	// older than 1.46 s a tenth of the time, and an older one costs a call of its own.
 	// With this, and neighbours a fifth of the way to the first, 103 entries confirm
 	// 800 times in 58 s where it was 1,350.
-	dueFirstOfMany = 0.18
-	manyEntries    = 32
-	// dueNews is the part of the bound for changes for which a watch may take to
+	firstOfManyDuePart = 0.18
+	manyEntries        = 32
+	// watchDuePart is the part of the bound for changes for which a watch may take to
 	// bring the version of which a peer told: a large one is on its way for half
 	// a second, and asking for it as well would bring it twice.
-	dueNews = 0.3
-	// dueLagging is the part of it that is left where a confirmation comes with
+	watchDuePart = 0.3
+	// laggingDuePart is the part of it that is left where a confirmation comes with
 	// a lag of its own.
-	dueLagging = 0.9
-	// fitFor is how long word of an entry with a newer table is good for: a few
+	laggingDuePart = 0.9
+	// peerNewerFor is how long word of an entry with a newer table is good for: a few
 	// rounds of asking.
-	fitFor clock.Millis = 2000
-	// answeredLately is how old word of another entry's answer of the store may be for the
+	peerNewerFor clock.Millis = 2000
+	// recentAnswerAge is how old word of another entry's answer of the store may be for the
 	// store to be there: with one confirmation each 0.65 s nearly all know a younger one.
-	answeredLately clock.Millis = 2500
-	// loadFresh is how old a load may be to be worth telling.
-	loadFresh clock.Millis = 2000
+	recentAnswerAge clock.Millis = 2500
+	// maxLoadAge is how old a load may be to be worth telling.
+	maxLoadAge clock.Millis = 2000
 )
 
 // TableDue reports whether the table in force should be confirmed: it has not
@@ -59,21 +59,21 @@
 		return false
 	}
 	b := g.bounds()
-	due := min(dueOfRevocation*float64(b.Revocation), dueOfChange*float64(b.Change))
+	due := min(revocationDuePart*float64(b.Revocation), changeDuePart*float64(b.Change))
 	if b.Evacuation > 0 {
-		due = min(due, dueOfEvacuation*float64(b.Evacuation))
+		due = min(due, evacuationDuePart*float64(b.Evacuation))
 	}
 	if lag > 0 {
-		due *= dueLagging
+		due *= laggingDuePart
 	}
 	now := g.clk.Now()
-	older := func(part float64) bool { return !g.published.Within(lag+clock.Millis(part*due), now) }
+	older := func(part float64) bool { return !g.tableFreshness.Within(lag+clock.Millis(part*due), now) }
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.newest > t.Version() && now-g.newestAt > clock.Millis(dueNews*float64(b.Change)) {
+	if g.newestVersion > t.Version() && now-g.newestVersionAt > clock.Millis(watchDuePart*float64(b.Change)) {
 		return true
 	}
-	return g.due(older)
+	return g.confirmationDue(older)
 }
 
 // StoreAsked tells whether many entries are known that ask the store, too, and whether one
@@ -81,8 +81,8 @@
 func (g *Gate) StoreAsked() (many, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	many = g.fleet.Entries > fewEntries && g.table.Load() != nil && g.listed.Known()
-	return many, many && g.answeredAt > 0 && g.clk.Now()-g.answeredAt <= answeredLately
+	many = g.fleet.Entries > fewEntries && g.table.Load() != nil && g.listFreshness.Known()
+	return many, many && g.storeAnsweredAt > 0 && g.clk.Now()-g.storeAnsweredAt <= recentAnswerAge
 }
 
 // SetFleet implements peers.Facts.
@@ -104,12 +104,12 @@
 		k.EpochAge = g.epoch.Age(now)
 	}
 	k.Revision = g.storeRevision()
-	if t != nil && g.published.Known() {
-		k.Table, k.TableAge, k.Evacuated = t.Version(), g.published.Age(now), sumOf(g.evacuated)
+	if t != nil && g.tableFreshness.Known() {
+		k.Table, k.TableAge, k.Evacuated = t.Version(), g.tableFreshness.Age(now), checksum(g.evacuated)
 	}
-	k.Remembers = g.remembers(now)
-	k.List, k.ListAge = g.tellList(now)
-	for _, l := range g.book.Loads(loadFresh, loads, now) {
+	k.Remembers = g.knowsHistory(now)
+	k.List, k.ListAge = g.reportList(now)
+	for _, l := range g.book.Loads(maxLoadAge, loads, now) {
 		k.Loads = append(k.Loads, peers.Load{Engine: l.Mark(), Requests: l.Requests, Age: l.Age})
 	}
 	return k
@@ -120,44 +120,44 @@
 // ours is old, and of other evacuations only that one of us has yet to learn.
 func (g *Gate) Hear(from string, k peers.Known, at clock.Millis) {
 	if k.Remembers {
-		g.hearMemory(from)
+		g.receiveHistory(from)
 	}
-	g.hearAges(k, at)
+	g.receiveAges(k, at)
 	g.HearLoads(k.Loads, at)
 	g.ReceiveSuspects(from, k.Suspects)
 }
 
-func (g *Gate) hearAges(k peers.Known, at clock.Millis) {
+func (g *Gate) receiveAges(k peers.Known, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	sameEpoch := k.EpochAge >= 0 && g.hearEpoch(k.Epoch, at-k.EpochAge, at)
+	sameEpoch := k.EpochAge >= 0 && g.receiveEpoch(k.Epoch, at-k.EpochAge, at)
 	if sameEpoch {
-		g.hearRevision(k.Epoch, k.Revision)
+		g.receiveRevision(k.Epoch, k.Revision)
 	}
 	if sameEpoch && k.ListAge >= 0 {
-		g.hearList(k.List, at-k.ListAge, g.clk.Now())
+		g.receiveList(k.List, at-k.ListAge, g.clk.Now())
 	}
 	t := g.table.Load()
 	if t == nil || k.TableAge < 0 {
 		return
 	}
-	same := k.Evacuated == sumOf(g.evacuated)
+	same := k.Evacuated == checksum(g.evacuated)
 	if k.Table > t.Version() {
-		g.aheadAt = at
+		g.peerAheadAt = at
 	}
 	if k.Table > 0 {
-		g.answeredAt = max(g.answeredAt, at-k.TableAge)
+		g.storeAnsweredAt = max(g.storeAnsweredAt, at-k.TableAge)
 	}
 	switch {
 	case k.Table == t.Version() && same && sameEpoch:
-		g.hearProof(at - k.TableAge)
+		g.receiveProof(at - k.TableAge)
 	case k.Table == t.Version():
-	case k.Table > max(g.newest, t.Version()):
-		g.newest, g.newestAt = k.Table, at
+	case k.Table > max(g.newestVersion, t.Version()):
+		g.newestVersion, g.newestVersionAt = k.Table, at
 	}
-	newer := k.Table > t.Version() || (k.Table == t.Version() && !same && k.TableAge < g.published.Age(at))
-	if newer && k.TableAge <= denialAge {
-		g.fitAt = at
+	newer := k.Table > t.Version() || (k.Table == t.Version() && !same && k.TableAge < g.tableFreshness.Age(at))
+	if newer && k.TableAge <= maxDenialAge {
+		g.peerNewerAt = at
 	}
 }
 
@@ -166,7 +166,7 @@
 // since callers come back to another. Otherwise the store is likely away for
 // all. The caller holds mu.
 func (g *Gate) retryElsewhere(now clock.Millis) clock.Millis {
-	if g.fitAt > 0 && now-g.fitAt <= fitFor {
+	if g.peerNewerAt > 0 && now-g.peerNewerAt <= peerNewerFor {
 		return retryAtOnce
 	}
 	return retryStale
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -115,18 +115,18 @@
 	pool      *upstream.Pool
 	table     atomic.Pointer[table.Table]
 	limits    atomic.Pointer[Bounds]
-	leave     leave
+	shutdown  shutdown
 	active    atomic.Int64
 	counts    counts
 	durations *duration.Estimator
-	// speeds has how fast the engines of each service read prompts. It is guarded by mu.
-	speeds map[string]*prefill.Speed
+	// prefillSpeeds has how fast the engines of each service read prompts. It is guarded by mu.
+	prefillSpeeds map[string]*prefill.Speed
 	// guard knows the requests under which engines ended, and inquiries asks each address
 	// once at a time whether its engine did.
 	guard     *quarantine.Guard
-	inquiries singleflight.Group
-	// began is when the process came up.
-	began clock.Millis
+	endChecks singleflight.Group
+	// startedAt is when the process came up.
+	startedAt clock.Millis
 
 	// mu guards what follows.
 	mu      sync.Mutex
@@ -134,28 +134,28 @@
 	budgets map[string]*serviceBudget
 	// evacuated names the data halls under evacuation, sorted.
 	evacuated []string
-	// published is the age of the table and the evacuations, which are read
+	// tableFreshness is the age of the table and the evacuations, which are read
 	// together, listed that of the list of engines.
-	published fresh.Belief
-	listed    fresh.Belief
-	list      listing
+	tableFreshness fresh.Belief
+	listFreshness  fresh.Belief
+	list           listState
 	// changes is what came to the list lately; it has its own lock.
 	changes changes.Log
 	// epoch is that of the store; epochMissed is true from when another entry told of a
 	// later one until the store is asked.
 	epoch       fresh.Epoch
 	epochMissed bool
-	reached     reached
-	// amnesiaUntil is until when no entry is known to remember which requests ended
+	progress    storeProgress
+	// historyUnknownUntil is until when no entry is known to remember which requests ended
 	// engines.
-	amnesiaUntil clock.Millis
-	// toldEpochAt is when another entry last told of a later epoch that was asked about.
-	toldEpochAt clock.Millis
-	// answeredAt is when another entry last had an answer of the store, by its word; zero
+	historyUnknownUntil clock.Millis
+	// epochReportedAt is when another entry last told of a later epoch that was asked about.
+	epochReportedAt clock.Millis
+	// storeAnsweredAt is when another entry last had an answer of the store, by its word; zero
 	// if none had.
-	answeredAt clock.Millis
-	// aheadAt is when a peer last told of a newer version than ours, zero if none did.
-	aheadAt clock.Millis
+	storeAnsweredAt clock.Millis
+	// peerAheadAt is when a peer last told of a newer version than ours, zero if none did.
+	peerAheadAt clock.Millis
 	// tableEpoch is the epoch by an answer of which the table in force came.
 	tableEpoch int64
 	// fleet is what is known of the other entries. The first of them confirms
@@ -166,22 +166,22 @@
 	// known.
 	shares      peers.Shares
 	others      []string
-	parts       map[string]int
-	mostEntries int
-	// leastEntries is how many entries the shares are made for at least.
-	leastEntries int
-	// newest is the newest version that a peer told of, at newestAt; zero if
+	warmupParts map[string]int
+	maxEntries  int
+	// minEntries is how many entries the shares are made for at least.
+	minEntries int
+	// newestVersion is the newestVersion version that a peer told of, at newestAt; zero if
 	// none did, or the platform has since shown that there is no newer one than
 	// ours.
-	newest   int64
-	newestAt clock.Millis
-	// coming is true while the store sends a large version, announcedAt when it
+	newestVersion   int64
+	newestVersionAt clock.Millis
+	// transferring is true while the store sends a large version, announcedAt when it
 	// first began to send one that is newer than the one in force, 0 if it did not.
-	coming      bool
-	announcedAt clock.Millis
-	// fitAt is when a peer last told of a newer table than ours that it had
+	transferring bool
+	announcedAt  clock.Millis
+	// peerNewerAt is when a peer last told of a newer table than ours that it had
 	// proved, or of other evacuations that it had proved later; zero if none did.
-	fitAt clock.Millis
+	peerNewerAt clock.Millis
 	// wasReady is what the log was last told.
 	wasReady bool
 }
@@ -190,17 +190,17 @@
 func New(cfg Config) *Gate {
 	d := cfg.Dialect
 	g := &Gate{
-		cfg: cfg, clk: cfg.Clock, log: cfg.Log, wire: d, style: style(d.RequestID),
-		reserved: nameSet(d.Reserved), internal: nameSet(d.Internal),
+		cfg: cfg, clk: cfg.Clock, log: cfg.Log, wire: d, style: failureStyle(d.RequestID),
+		reserved: headerSet(d.Reserved), internal: headerSet(d.Internal),
 		pool: upstream.NewPool(cfg.Clock, upstream.Names{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
 		book: engines.NewBook(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
-		durations: duration.NewEstimator(), speeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), leave: leave{running: map[*call]struct{}{}}, began: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), toldEpochAt: -aheadFor - 1,
+		durations: duration.NewEstimator(), prefillSpeeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), shutdown: shutdown{inFlight: map[*call]struct{}{}}, startedAt: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), epochReportedAt: -peerAheadFor - 1,
 	}
-	g.leave.estimate = g.estimate
+	g.shutdown.estimate = g.estimate
 	metrics.GetOrCreateGauge("weldfall_table_age_seconds", g.tableAge)
 	g.SetOthers(cfg.ID, nil)
 	g.limits.Store(&cfg.Bounds)
-	cfg.Clock.OnSuspend(g.suspended)
+	cfg.Clock.OnSuspend(g.onSuspend)
 	return g
 }
 
@@ -212,12 +212,12 @@
 		return
 	}
 	g.mu.Lock()
-	g.parts = map[string]int{}
+	g.warmupParts = map[string]int{}
 	g.mu.Unlock()
 	g.log.Info("bounds_in_force", "revocation_ms", b.Revocation, "evacuation_ms", b.Evacuation, "change_ms", b.Change, "grace_ms", b.Grace, "retry_ratio", b.RetryRatio, "load_bound", b.LoadBound)
 }
 
-func nameSet(names []string) map[string]bool {
+func headerSet(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, n := range names {
 		set[http.CanonicalHeaderKey(n)] = true
@@ -232,36 +232,36 @@
 	// the clock after the request has come in, so a pause of the process needs
 	// no margin.
 	revocationMargin clock.Millis = 150
-	// denialAge is the greatest age of the table at which a key or a path that
+	// maxDenialAge is the greatest age of the table at which a key or a path that
 	// it does not know is refused for good; an older table may lack it.
-	denialAge clock.Millis = 2500
+	maxDenialAge clock.Millis = 2500
 )
 
-// keyAge is the greatest age of the table at which keys are accepted.
-func (g *Gate) keyAge() clock.Millis { return g.bounds().Revocation - revocationMargin }
+// maxKeyAge is the greatest age of the table at which keys are accepted.
+func (g *Gate) maxKeyAge() clock.Millis { return g.bounds().Revocation - revocationMargin }
 
-// connShare is the least number of parts into which an engine's connections are divided.
+// minConnParts is the least number of parts into which an engine's connections are divided.
 // Where more entries are known there are as many, since all together must keep below the
 // published number: a twelfth for each of 103 was eight times that.
-const connShare = 12
+const minConnParts = 12
 
-// leastConns is the share of connections that an entry may always take.
-const leastConns = 8
+// minConns is the share of connections that an entry may always take.
+const minConns = 8
 
-// boundConns bounds the connections to an engine. The caller holds mu.
-func (g *Gate) boundConns(t *table.Table, in engines.Info) {
+// limitConns bounds the connections to an engine. The caller holds mu.
+func (g *Gate) limitConns(t *table.Table, in engines.Info) {
 	if t == nil {
 		return
 	}
 	if s, ok := t.Service(in.Service); ok && s.MaxConns > 0 {
-		g.pool.SetMost(in.Addr, max(leastConns, s.MaxConns/max(connShare, g.mostEntries)))
+		g.pool.SetMost(in.Addr, max(minConns, s.MaxConns/max(minConnParts, g.maxEntries)))
 	}
 }
 
-// boundAllConns bounds those to all engines. The caller holds mu.
-func (g *Gate) boundAllConns(t *table.Table) {
+// limitAllConns bounds those to all engines. The caller holds mu.
+func (g *Gate) limitAllConns(t *table.Table) {
 	for _, id := range g.book.IDs() {
-		g.boundConns(t, g.book.Get(id).Info())
+		g.limitConns(t, g.book.Get(id).Info())
 	}
 }
 
@@ -278,14 +278,14 @@
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ready := t != nil && g.listed.Known() && !g.leave.begun()
+	ready := t != nil && g.listFreshness.Known() && !g.shutdown.started()
 	if ready && t.Keyed() {
-		ready = g.published.Within(g.keyAge(), now)
+		ready = g.tableFreshness.Within(g.maxKeyAge(), now)
 	}
 	ready = ready && g.knowsEvacuations(now) && g.outdated(now) == 0
 	if ready != g.wasReady {
 		g.wasReady = ready
-		g.log.Info("readiness", "ready", ready, "table_age_ms", g.published.Age(now), "list_age_ms", g.listed.Age(now), "draining", g.leave.begun())
+		g.log.Info("readiness", "ready", ready, "table_age_ms", g.tableFreshness.Age(now), "list_age_ms", g.listFreshness.Age(now), "draining", g.shutdown.started())
 	}
 	return ready
 }
--- a/gate/list.go
+++ b/gate/list.go
@@ -9,7 +9,7 @@
 	g.mu.Lock()
 	before := g.book.Get(in.ID)
 	change := g.book.Put(in, g.clk.Now())
-	g.boundConns(g.table.Load(), in)
+	g.limitConns(g.table.Load(), in)
 	rivals := g.book.Rivals(in.ID)
 	g.mu.Unlock()
 	switch change {
@@ -21,7 +21,7 @@
 	case engines.Restarted:
 		// Its earlier life has answered the last on these.
 		g.pool.Forget(before.Info().Addr)
-		g.tellEnd(before.Info())
+		g.recordEnd(before.Info())
 	}
 	g.log.Info("engine", "change", string(change), "engine", in.ID, "born", in.Born, "service", in.Service, "addr", in.Addr, "hall", in.Hall)
 	for _, o := range rivals {
@@ -33,23 +33,23 @@
 func (g *Gate) RemoveEngine(id, cause string) {
 	g.mu.Lock()
 	in, ok := g.book.Remove(id)
-	delete(g.parts, id)
+	delete(g.warmupParts, id)
 	g.mu.Unlock()
 	if !ok {
 		return
 	}
 	g.pool.Forget(in.Addr)
-	g.tellEnd(in)
+	g.recordEnd(in)
 	g.log.Info("engine", "change", string(engines.Gone), "engine", id, "service", in.Service, "addr", in.Addr, "cause", cause)
 }
 
-// tellEnd records that a life of an engine is over by the list. One that had said that it
+// recordEnd records that a life of an engine is over by the list. One that had said that it
 // leaves ended as planned, whatever ran there.
-func (g *Gate) tellEnd(in engines.Info) {
+func (g *Gate) recordEnd(in engines.Info) {
 	mark := in.Incarnation().Mark()
 	g.guard.ConfirmCrash(mark)
 	if !in.Leaving {
-		g.guard.RecordIncarnationEnd(mark, in.ID, groundListed)
+		g.guard.RecordIncarnationEnd(mark, in.ID, endedByList)
 	}
 }
 
@@ -57,7 +57,7 @@
 func (g *Gate) ForgetEngine(id string) {
 	g.mu.Lock()
 	g.book.Forget(id)
-	delete(g.parts, id)
+	delete(g.warmupParts, id)
 	g.mu.Unlock()
 	g.log.Info("engine", "change", string(engines.Forgotten), "engine", id, "cause", "others told what is not so")
 }
--- a/gate/listing.go
+++ b/gate/listing.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// dueOfLeaving is the part of the bound for leaving engines after which the list of
+	// drainingDuePart is the part of the bound for leaving engines after which the list of
 	// engines must be confirmed: the rest is for the call, which a slow store answers
 	// after 400 ms, and for what requests are on their way.
-	dueOfLeaving = 0.6
-	// ownWord is how long an entry takes the word of others that the list is unchanged,
+	drainingDuePart = 0.6
+	// ownReadPeriod is how long an entry takes the word of others that the list is unchanged,
 	// before it looks for itself: all others may be wrong.
-	ownWord clock.Millis = 60_000
-	// toldFor is how long an entry goes by what others told of engines before it asks the
+	ownReadPeriod clock.Millis = 60_000
+	// unverifiedMaxAge is how long an entry goes by what others told of engines before it asks the
 	// store whether that is so: a lie may have prompts sent to an engine that is none.
-	toldFor clock.Millis = 20_000
-	// wordFor is how long an entry that is behind leaves the store alone for what the one
+	unverifiedMaxAge clock.Millis = 20_000
+	// changesTimeout is how long an entry that is behind leaves the store alone for what the one
 	// that told of a later list may tell of its changes: a question, an answer and the time
 	// to take it.
-	wordFor clock.Millis = 300
+	changesTimeout clock.Millis = 300
 	// PropagationLag is how long word of an entry takes to the last of lagEntries.
 	PropagationLag clock.Millis = 2000
-	// lagEntries is the number of entries for which PropagationLag holds.
-	lagEntries = 100
+	// propagationEntries is the number of entries for which PropagationLag holds.
+	propagationEntries = 100
 	// fewEntries is up to how many entries each ask the store, for the list and while it
 	// refuses: that costs few calls, and each hears of a change or a return at once.
 	fewEntries = 8
@@ -35,37 +35,37 @@
 	WatchLag clock.Millis = 1000
 )
 
-// listing is what is known of the list of engines as a whole. Many entries do not each
+// listState is what is known of the list of engines as a whole. Many entries do not each
 // ask whether it is as it was: the first does so early, the others hear of it, and where the
 // sums over what the list says differ, ask the one that told for what came to it, or else the
 // store. Engines write their entries again and again, so that a watch ends at once and an
 // entry that asks for itself asks as often as it may. Played with 103 entries for 54 s in which
 // an engine came or left each second, 1,265 such calls remained of 1,743 while others told only
 // that a list is unchanged; simulated without such changes, 5 a second do of 50.
-type listing struct {
+type listState struct {
 	// sum stands for what the list says, as this entry last read it at askedAt.
-	sum     uint32
-	askedAt clock.Millis
-	// toldAt is when others first told of changes that the store was not asked about yet,
+	sum    uint32
+	readAt clock.Millis
+	// unverifiedSince is when others first told of changes that the store was not asked about yet,
 	// zero if none did.
-	toldAt clock.Millis
+	unverifiedSince clock.Millis
 	// watched is true while a watch waits that tells of changes at once.
 	watched bool
 	// behind is true from when another told of a later list until that is known or the
 	// store is asked, and other is the sum that it told. Two entries may never agree,
 	// where one read a list that the other did not: the same sum is asked about once.
-	behind bool
-	other  uint32
-	// wantedAt is when the changes were last wanted of the one that told, zero if they
+	behind  bool
+	peerSum uint32
+	// changesRequestedAt is when the changes were last wanted of the one that told, zero if they
 	// were not yet.
-	wantedAt clock.Millis
+	changesRequestedAt clock.Millis
 }
 
 // ConfirmEngines records that the list of engines, for which sum stands, was complete at
 // the given time.
 func (g *Gate) ConfirmEngines(sum uint32, at clock.Millis) {
 	if g.confirmEngines(sum, at) {
-		g.beginAmnesia()
+		g.beginUnknownHistory()
 	}
 }
 
@@ -73,11 +73,11 @@
 func (g *Gate) confirmEngines(sum uint32, at clock.Millis) (first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if first = !g.listed.Known(); first {
+	if first = !g.listFreshness.Known(); first {
 		g.book.Settle(at)
 	}
-	g.list.askedAt, g.list.toldAt = at, 0
-	g.knowList(sum, at)
+	g.list.readAt, g.list.unverifiedSince = at, 0
+	g.setList(sum, at)
 	return first
 }
 
@@ -86,16 +86,16 @@
 func (g *Gate) HearEngines(sum uint32, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.list.toldAt == 0 {
-		g.list.toldAt = max(1, g.clk.Now())
+	if g.list.unverifiedSince == 0 {
+		g.list.unverifiedSince = max(1, g.clk.Now())
 	}
-	g.knowList(sum, at)
+	g.setList(sum, at)
 }
 
-// knowList takes the list, for which sum stands, to have been complete at the given time.
+// setList takes the list, for which sum stands, to have been complete at the given time.
 // The caller holds mu.
-func (g *Gate) knowList(sum uint32, at clock.Millis) {
-	g.listed.Confirm(at)
+func (g *Gate) setList(sum uint32, at clock.Millis) {
+	g.listFreshness.Confirm(at)
 	g.list.sum = max(1, sum)
 	g.list.behind = false
 }
@@ -115,80 +115,80 @@
 func (g *Gate) ListShared() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sharesList(g.clk.Now())
+	return g.listShared(g.clk.Now())
 }
 
-// sharesList is ListShared. Where the list is due before word of another can be there, all
+// listShared is ListShared. Where the list is due before word of another can be there, all
 // would ask nevertheless, and more often. The caller holds mu.
-func (g *Gate) sharesList(now clock.Millis) bool {
+func (g *Gate) listShared(now clock.Millis) bool {
 	n := g.fleet.Entries
-	inTime := dueOfLeaving*float64(g.bounds().Draining) >= float64(wordLag(n))
-	return inTime && n > fewEntries && g.listed.Known() && !g.epoch.Doubts(now)
+	inTime := drainingDuePart*float64(g.bounds().Draining) >= float64(propagationLag(n))
+	return inTime && n > fewEntries && g.listFreshness.Known() && !g.epoch.Doubts(now)
 }
 
-// wordLag returns how long word of an entry takes to the last of n. Each step of its way
+// propagationLag returns how long word of an entry takes to the last of n. Each step of its way
 // divides the entries that it has yet to reach, so the steps grow as the logarithm.
-func wordLag(n int) clock.Millis {
-	return clock.Millis(float64(PropagationLag) * min(1, math.Log(float64(n))/math.Log(lagEntries)))
+func propagationLag(n int) clock.Millis {
+	return clock.Millis(float64(PropagationLag) * min(1, math.Log(float64(n))/math.Log(propagationEntries)))
 }
 
 // ListDue reports whether the store should be asked for the list of engines, if none asks
 // it: nobody has for a while, or another entry knows a later one.
 func (g *Gate) ListDue() bool {
-	due := dueOfLeaving * float64(g.bounds().Draining)
+	due := drainingDuePart * float64(g.bounds().Draining)
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	since := now - g.list.askedAt
+	since := now - g.list.readAt
 	// What changes together costs one call, and a peer that lies no more than there would
 	// be without it.
-	behind := g.list.behind && now-g.list.wantedAt >= wordFor && !g.changes.Waiting()
-	unproved := g.list.toldAt > 0 && now-g.list.toldAt > toldFor
-	if since > ownWord || unproved || (behind && since >= clock.Millis(due)) {
+	behind := g.list.behind && now-g.list.changesRequestedAt >= changesTimeout && !g.changes.Waiting()
+	unproved := g.list.unverifiedSince > 0 && now-g.list.unverifiedSince > unverifiedMaxAge
+	if since > ownReadPeriod || unproved || (behind && since >= clock.Millis(due)) {
 		return true
 	}
-	return g.due(func(part float64) bool { return !g.listed.Within(clock.Millis(part*due), now) })
+	return g.confirmationDue(func(part float64) bool { return !g.listFreshness.Within(clock.Millis(part*due), now) })
 }
 
-// due reports whether this entry should confirm something that was confirmed a part of the
+// confirmationDue reports whether this entry should confirm something that was confirmed a part of the
 // time ago in which it must be. The caller holds mu.
-func (g *Gate) due(older func(part float64) bool) bool {
+func (g *Gate) confirmationDue(older func(part float64) bool) bool {
 	switch {
 	case older(1):
 		return true
 	case g.fleet.First && g.fleet.Entries > manyEntries:
-		return older(dueFirstOfMany)
+		return older(firstOfManyDuePart)
 	case g.fleet.First:
-		return older(dueFirst)
+		return older(firstDuePart)
 	}
-	return older(dueEarly) && random() < 1/float64(max(1, g.fleet.Entries))
+	return older(randomDuePart) && random() < 1/float64(max(1, g.fleet.Entries))
 }
 
-// tellList returns the sum over the list and its age, or zero if there is nothing to tell.
+// reportList returns the sum over the list and its age, or zero if there is nothing to tell.
 // The caller holds mu.
-func (g *Gate) tellList(now clock.Millis) (sum uint32, age clock.Millis) {
-	if !g.sharesList(now) {
+func (g *Gate) reportList(now clock.Millis) (sum uint32, age clock.Millis) {
+	if !g.listShared(now) {
 		return 0, 0
 	}
-	age = g.listed.Age(now)
+	age = g.listFreshness.Age(now)
 	if g.list.watched {
 		age = min(age, WatchLag)
 	}
 	return g.list.sum, age
 }
 
-// hearList takes word of a peer that speaks of the same epoch that the list was as sum
+// receiveList takes word of a peer that speaks of the same epoch that the list was as sum
 // says at the given time. The caller holds mu.
-func (g *Gate) hearList(sum uint32, at, now clock.Millis) {
-	if sum == 0 || at > now || !g.sharesList(now) {
+func (g *Gate) receiveList(sum uint32, at, now clock.Millis) {
+	if sum == 0 || at > now || !g.listShared(now) {
 		return
 	}
 	if sum == g.list.sum {
-		g.listed.Confirm(at)
+		g.listFreshness.Confirm(at)
 		return
 	}
-	if at > now-g.listed.Age(now) && sum != g.list.other {
-		g.list.behind, g.list.other, g.list.wantedAt = true, sum, 0
+	if at > now-g.listFreshness.Age(now) && sum != g.list.peerSum {
+		g.list.behind, g.list.peerSum, g.list.changesRequestedAt = true, sum, 0
 	}
 }
 
@@ -197,12 +197,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clk.Now()
-	if !g.list.behind || sum != g.list.other || g.changes.Waiting() || !g.sharesList(now) {
+	if !g.list.behind || sum != g.list.peerSum || g.changes.Waiting() || !g.listShared(now) {
 		return changes.Place{}, false
 	}
 	place, ok := g.changes.Place()
 	if ok {
-		g.list.wantedAt = now
+		g.list.changesRequestedAt = now
 	}
 	return place, ok
 }
@@ -211,7 +211,7 @@
 func (g *Gate) Since(p changes.Place) (changes.Word, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	sum, age := g.tellList(g.clk.Now())
+	sum, age := g.reportList(g.clk.Now())
 	came, to, ok := g.changes.Since(p)
 	if sum == 0 || !ok {
 		return changes.Word{}, false
--- a/gate/news.go
+++ b/gate/news.go
@@ -29,11 +29,11 @@
 	if newer {
 		g.announcedAt = 0
 	}
-	g.parts = map[string]int{}
-	g.boundAllConns(t)
+	g.warmupParts = map[string]int{}
+	g.limitAllConns(t)
 	g.mu.Unlock()
 	if newer {
-		g.tellTable(t, a)
+		g.logTable(t, a)
 	}
 }
 
@@ -43,8 +43,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.confirm(epoch, at)
-	if at > g.newestAt {
-		g.newest = 0
+	if at > g.newestVersionAt {
+		g.newestVersion = 0
 	}
 	if at > g.announcedAt {
 		g.announcedAt = 0
@@ -56,7 +56,7 @@
 func (g *Gate) TableComing(news bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.coming = true
+	g.transferring = true
 	if news && g.announcedAt == 0 {
 		g.announcedAt = g.clk.Now()
 	}
@@ -66,7 +66,7 @@
 func (g *Gate) TableStopped() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.coming = false
+	g.transferring = false
 }
 
 // outdatedMargin is taken off the bound for changes: a change may have been
@@ -82,15 +82,15 @@
 // have to refuse. The caller holds mu.
 func (g *Gate) outdated(now clock.Millis) clock.Millis {
 	t := g.table.Load()
-	if t == nil || !g.coming {
+	if t == nil || !g.transferring {
 		return 0
 	}
 	var age clock.Millis
 	if g.announcedAt > 0 {
 		age = now - g.announcedAt
 	}
-	if g.newest > t.Version() {
-		age = max(age, now-g.newestAt)
+	if g.newestVersion > t.Version() {
+		age = max(age, now-g.newestVersionAt)
 	}
 	if age <= g.bounds().Change-outdatedMargin {
 		return 0
@@ -98,8 +98,8 @@
 	return age
 }
 
-// tellTable logs and counts how a version came that is now in force.
-func (g *Gate) tellTable(t *table.Table, a table.Arrival) {
+// logTable logs and counts how a version came that is now in force.
+func (g *Gate) logTable(t *table.Table, a table.Arrival) {
 	now := g.clk.Now()
 	g.log.Info("table_in_force", "version", t.Version(), "age_ms", now-a.TrueAt, "bytes", a.Bytes, "heard_ms", now-a.HeardAt,
 		"transfer_ms", a.Transfer, "decode_us", a.Decoding, "build_us", a.Building)
@@ -116,10 +116,10 @@
 func (g *Gate) tableAge() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.published.Known() {
+	if !g.tableFreshness.Known() {
 		return -1
 	}
-	return inSeconds(g.published.Age(g.clk.Now()))
+	return inSeconds(g.tableFreshness.Age(g.clk.Now()))
 }
 
 // tableCounts are the histograms of how versions came into force.
--- a/gate/place.go
+++ b/gate/place.go
@@ -18,14 +18,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.knowsEvacuations(now) {
-		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's word of evacuations is %d ms old", g.published.Age(now)).WithRetryAfter(g.retryElsewhere(now))
+		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's word of evacuations is %d ms old", g.tableFreshness.Age(now)).WithRetryAfter(g.retryElsewhere(now))
 	}
 	bound, slack := engines.PromptBound(g.bounds().LoadBound)
 	service, _ := c.table.Service(c.service)
-	cost := engines.Cost{Read: g.readTime(c.service), Move: service.MoveTime}
+	cost := engines.Cost{Read: g.prefillMillis(c.service), Move: service.MoveTime}
 	ch, ok := g.book.Choose(engines.Query{
-		Service: c.service, Keys: c.keys, Tokens: c.tokens, Cost: cost, Bound: bound, Slack: slack,
-		Silence: silence(c.route), Cold: g.cold(c), Tried: c.tried, Alone: alone, Random: random(),
+		Service: c.service, Keys: c.prefixKeys, Tokens: c.prefixTokens, Cost: cost, Bound: bound, Slack: slack,
+		Silence: maxSilence(c.route), Cold: g.warmup(c), Tried: c.tried, Alone: alone, Random: random(),
 	}, now)
 	if !ok && alone {
 		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines ended while they ran this request, and no engine of %s can be spared to try it", c.service).WithRetryAfter(retrySoon)
@@ -37,12 +37,12 @@
 	ch.Engine.Start(now)
 	c.sentAt = now
 	c.tried, c.alone = append(c.tried, in.ID), alone
-	c.how, c.kept, c.load, c.mean = ch.How, ch.Kept, ch.Load, ch.Mean
+	c.chosenBy, c.sentBefore, c.engineLoad, c.meanLoad = ch.How, ch.Kept, ch.Load, ch.Mean
 	p := pick{Info: in}
 	if service.Moves && ch.Source != nil {
 		p.source = ch.Source.Info().Addr
 	}
-	c.fetched, c.dearer, c.readTime = p.source != "", ch.Dearer, cost.Read
+	c.hasSource, c.fetchCostsMore, c.prefillMillis = p.source != "", ch.Dearer, cost.Read
 	return p, nil
 }
 
@@ -58,12 +58,12 @@
 // engine that it goes to.
 const silenceGoals = 2
 
-// silence is how long an engine may leave requests without a sign before a
+// maxSilence is how long an engine may leave requests without a sign before a
 // request of a route goes elsewhere.
-func silence(r *table.Route) clock.Millis { return silenceGoals * r.GoalOrUsual() }
+func maxSilence(r *table.Route) clock.Millis { return silenceGoals * r.GoalOrUsual() }
 
-// heard records a sign of life, with the load that it told, if any.
-func (g *Gate) heard(n engines.Incarnation, load string) {
+// recordActivity records a sign of life, with the load that it told, if any.
+func (g *Gate) recordActivity(n engines.Incarnation, load string) {
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,16 +89,16 @@
 	}
 	trust := e.Finish(o, now)
 	g.mu.Unlock()
-	g.tellTrust(n, trust, string(o))
+	g.applyTrust(n, trust, string(o))
 }
 
-// tellTrust logs what changed in the trust in an engine, and has one sought that cannot
+// applyTrust logs what changed in the trust in an engine, and has one sought that cannot
 // be reached.
-func (g *Gate) tellTrust(n engines.Incarnation, t engines.Trust, cause string) {
+func (g *Gate) applyTrust(n engines.Incarnation, t engines.Trust, cause string) {
 	g.logTrust(n.ID, t, cause)
 	if t == engines.Suspected {
 		g.guard.ConfirmCrash(n.Mark())
-		go g.seek(n)
+		go g.reconnect(n)
 	}
 }
 
@@ -108,15 +108,15 @@
 	}
 }
 
-// seekPeriod is how often an engine is sought that could not be reached.
-const seekPeriod clock.Millis = 500
+// reconnectPeriod is how often an engine is sought that could not be reached.
+const reconnectPeriod clock.Millis = 500
 
-// seek opens connections to an engine that could not be reached until one comes
+// reconnect opens connections to an engine that could not be reached until one comes
 // up or the list has lost it, so that no request is spent to find out: at a dark
 // engine each would wait for as long as a connection may take.
-func (g *Gate) seek(n engines.Incarnation) {
-	for !g.leave.over.Load() {
-		clock.Sleep(context.Background(), seekPeriod)
+func (g *Gate) reconnect(n engines.Incarnation) {
+	for !g.shutdown.aborting.Load() {
+		clock.Sleep(context.Background(), reconnectPeriod)
 		g.mu.Lock()
 		e := g.book.Find(n)
 		if e == nil {
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// drainLimit bounds what is read of an answer that nobody wants, in bytes.
-	drainLimit = 64 << 10
-	// resumeSilence is how long a resumable stream may at least pause before it
+	// discardLimit bounds what is read of an answer that nobody wants, in bytes.
+	discardLimit = 64 << 10
+	// minStreamSilence is how long a resumable stream may at least pause before it
 	// is taken up elsewhere: under the two seconds after which callers abandon
 	// a stream.
-	resumeSilence clock.Millis = 1000
-	// resumePauses is how many of the longest pauses that are on time it may
+	minStreamSilence clock.Millis = 1000
+	// streamSilencePauses is how many of the longest pauses that are on time it may
 	// pause; callers abandon it after eight.
-	resumePauses = 2.5
+	streamSilencePauses = 2.5
 )
 
-// drain reads the rest of an answer, so that its connection can be kept.
-func drain(a *upstream.Answer) {
+// discardRest reads the rest of an answer, so that its connection can be kept.
+func discardRest(a *upstream.Answer) {
 	// An answer that cannot be read to its end costs its connection.
-	_, _ = io.CopyN(io.Discard, a, drainLimit)
+	_, _ = io.CopyN(io.Discard, a, discardLimit)
 }
 
 // relay passes the answer of an engine on to the caller.
@@ -56,19 +56,19 @@
 func (x exchange) WantsStream() bool { return x.c.route.Kind == table.Stream }
 
 // TimeLeft implements relay.Exchange.
-func (x exchange) TimeLeft() clock.Millis { return x.c.left(x.g.clk.Now()) }
+func (x exchange) TimeLeft() clock.Millis { return x.c.timeLeft(x.g.clk.Now()) }
 
 // ReadTimeout implements relay.Exchange.
 func (x exchange) ReadTimeout() clock.Millis {
 	left := x.TimeLeft()
 	if r := x.c.route; r.Repeatable() && x.c.ran < r.Attempts {
-		return min(left, max(resumeSilence, clock.Millis(resumePauses*float64(r.PauseGoal))))
+		return min(left, max(minStreamSilence, clock.Millis(streamSilencePauses*float64(r.PauseGoal))))
 	}
 	return left
 }
 
 // OnRead implements relay.Exchange.
-func (x exchange) OnRead() { x.g.heard(x.with, "") }
+func (x exchange) OnRead() { x.g.recordActivity(x.with, "") }
 
 // OnUnbuffered implements relay.Exchange.
 func (x exchange) OnUnbuffered() { x.g.durations.RecordPassThrough(x.c.route.Name) }
@@ -86,21 +86,21 @@
 	switch {
 	case n == 0:
 		return
-	case c.runFrom == 0:
+	case c.runStart == 0:
 		g.durations.RecordFirstEvent(c.route.Name, now-c.start)
-		g.learnReading(c, now)
-	case n-c.runFrom < duration.RunEvents:
+		g.learnPrefill(c, now)
+	case n-c.runStart < duration.RunEvents:
 		return
 	default:
-		g.durations.RecordRun(c.route.Name, c.expected.Service, duration.RunEvents*(now-c.runAt)/clock.Millis(n-c.runFrom))
+		g.durations.RecordRun(c.route.Name, c.expected.Service, duration.RunEvents*(now-c.runStartAt)/clock.Millis(n-c.runStart))
 	}
-	c.runFrom, c.runAt = n, now
+	c.runStart, c.runStartAt = n, now
 }
 
 // learnRest records how long the events took that came after the last run.
 func (g *Gate) learnRest(c *call) {
-	if n := c.events - c.runFrom; c.runFrom > 0 && n > 0 {
-		g.durations.RecordTail(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runAt)
+	if n := c.events - c.runStart; c.runStart > 0 && n > 0 {
+		g.durations.RecordTail(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runStartAt)
 	}
 }
 
@@ -110,10 +110,10 @@
 		if from != nil {
 			g.copyHead(to, from)
 		}
-		if g.leave.begun() {
+		if g.shutdown.started() {
 			to.Set("Connection", "close")
 		}
-		c.bound(g.clk.Now())
+		c.limitWrite(g.clk.Now())
 	}})
 }
 
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// extraShare is the least number of parts into which the extra repeats are
+	// minRetryParts is the least number of parts into which the extra repeats are
 	// divided, extraLives how many parts there are for each entry that is known: a
 	// part is held before a window, another earned in it, and each process that is
 	// started begins with some.
-	extraShare = 32
-	extraLives = 4
-	// meteredMost bounds the services with counters of their own; the others share
+	minRetryParts      = 32
+	retryPartsPerEntry = 4
+	// maxMeteredServices bounds the services with counters of their own; the others share
 	// those of otherServices.
-	meteredMost   = 64
-	otherServices = "other"
+	maxMeteredServices = 64
+	otherServices      = "other"
 )
 
 // grant says whether another attempt may follow one that ended, and why.
@@ -46,23 +46,23 @@
 type serviceBudget struct {
 	*budget.Budget
 	requests, spent, denied *metrics.Counter
-	// told is how many repeats had been asked for when the log was last told.
-	told uint64
+	// loggedRetries is how many repeats had been asked for when the log was last loggedRetries.
+	loggedRetries uint64
 }
 
 // budget returns the budget of a service. The caller holds mu.
 func (g *Gate) budget(service string) *serviceBudget {
 	bounds := g.bounds()
 	cfg := budget.Config{
-		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.began,
-		Extra: bounds.RetryExtra / float64(max(extraShare, extraLives*g.mostEntries)),
+		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.startedAt,
+		Extra: bounds.RetryExtra / float64(max(minRetryParts, retryPartsPerEntry*g.maxEntries)),
 	}
 	if b := g.budgets[service]; b != nil {
 		b.Configure(cfg)
 		return b
 	}
 	label := service
-	if len(g.budgets) >= meteredMost {
+	if len(g.budgets) >= maxMeteredServices {
 		label = otherServices
 	}
 	b := &serviceBudget{
@@ -84,9 +84,9 @@
 	b.requests.Inc()
 }
 
-// grantRepeat takes a repeat from the budget of a service, unless nothing of the attempt
+// grantRetry takes a repeat from the budget of a service, unless nothing of the attempt
 // that ended arrived.
-func (g *Gate) grantRepeat(service string, o attempt.Outcome, now clock.Millis) grant {
+func (g *Gate) grantRetry(service string, o attempt.Outcome, now clock.Millis) grant {
 	if _, ok := o.(attempt.Unsent); ok {
 		return grantFree
 	}
@@ -101,8 +101,8 @@
 	return grantSpent
 }
 
-// logRepeats tells of each budget that was asked for repeats since it was last told of.
-func (g *Gate) logRepeats() {
+// logRetries tells of each budget that was asked for repeats since it was last told of.
+func (g *Gate) logRetries() {
 	now := g.clk.Now()
 	bounds := g.bounds()
 	g.mu.Lock()
@@ -110,10 +110,10 @@
 	for _, service := range slices.Sorted(maps.Keys(g.budgets)) {
 		b := g.budgets[service]
 		u := b.Usage(now)
-		if b.told == u.Spent+u.Denied {
+		if b.loggedRetries == u.Spent+u.Denied {
 			continue
 		}
-		b.told = u.Spent + u.Denied
+		b.loggedRetries = u.Spent + u.Denied
 		g.log.Info("repeats", "service", service, "requests", u.Requests, "spent", u.Spent, "denied", u.Denied,
 			"least_left", tenths(u.MinRemaining), "ratio", bounds.RetryRatio, "extra", bounds.RetryExtra, "window_ms", bounds.RetryWindow)
 	}
--- a/gate/request.go
+++ b/gate/request.go
@@ -19,7 +19,7 @@
 
 // request returns what the engine is sent.
 func (g *Gate) request(c *call, e pick, now clock.Millis) *upstream.Request {
-	h := make(http.Header, len(c.r.Header)+headersAdded)
+	h := make(http.Header, len(c.r.Header)+addedHeaders)
 	dropped := connectionNames(c.r.Header)
 	for k, v := range c.r.Header {
 		if !hopByHop[k] && !g.reserved[k] && !dropped[k] {
@@ -29,7 +29,7 @@
 	if c.table.Keyed() && !c.route.Public {
 		delete(h, "Authorization")
 	}
-	h.Set(g.wire.Deadline, strconv.FormatInt(int64(max(1, c.left(now))), 10))
+	h.Set(g.wire.Deadline, strconv.FormatInt(int64(max(1, c.timeLeft(now))), 10))
 	h.Set(g.wire.ExpectEngine, e.ID)
 	h.Set(g.wire.Priority, strconv.Itoa(priority(c)))
 	if c.workspace != nil {
@@ -44,32 +44,32 @@
 	return &upstream.Request{
 		ID: c.id, Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: h,
 		Body: c.body, HasBody: c.r.ContentLength > 0 || len(c.r.TransferEncoding) > 0,
-		Doubt: doubt(c.route),
+		Doubt: suspectAfter(c.route),
 	}
 }
 
-// doubt is how long a request waits for a sign of its engine before the engine's
-// connections are in doubt: until it, or a stream of its kind, would be taken
+// suspectAfter is how long a request waits for a sign of its engine before the engine's
+// connections are in suspectAfter: until it, or a stream of its kind, would be taken
 // elsewhere if it might be repeated.
-func doubt(r *table.Route) clock.Millis {
+func suspectAfter(r *table.Route) clock.Millis {
 	if r.Kind != table.Stream {
-		return silence(r)
+		return maxSilence(r)
 	}
-	return max(silence(r), resumeSilence, clock.Millis(resumePauses*float64(r.PauseGoal)))
+	return max(maxSilence(r), minStreamSilence, clock.Millis(streamSilencePauses*float64(r.PauseGoal)))
 }
 
-// headersAdded is how many headers this process adds.
-const headersAdded = 7
+// addedHeaders is how many headers this process adds.
+const addedHeaders = 7
 
-// leastUrgent is the largest rank that engines know.
-const leastUrgent = 9
+// lowestPriority is the largest rank that engines know.
+const lowestPriority = 9
 
 func priority(c *call) int {
 	p := c.route.Priority
 	if c.workspace != nil && c.workspace.Priority != nil {
 		p = *c.workspace.Priority
 	}
-	return min(leastUrgent, max(0, p))
+	return min(lowestPriority, max(0, p))
 }
 
 // connectionNames are the headers that Connection names.
--- a/gate/resolve.go
+++ b/gate/resolve.go
@@ -28,8 +28,8 @@
 	retrySoon clock.Millis = 250
 )
 
-// bodyLimit bounds a body where the operators name no bound, in bytes.
-const bodyLimit = 4 << 20
+// defaultBodyLimit bounds a body where the operators name no bound, in bytes.
+const defaultBodyLimit = 4 << 20
 
 // check refuses requests whose deciding headers are missing or repeated.
 func (g *Gate) check(_ context.Context, c *call) *verdict.Error {
@@ -48,13 +48,13 @@
 		if err != nil || n <= 0 {
 			return verdict.New(verdict.NotRun, verdict.BadRequest, "header %s: %q is not a number of milliseconds above 0", g.wire.Deadline, d)
 		}
-		c.patience = clock.Millis(min(n, int64(longestHold)))
+		c.callerTimeout = clock.Millis(min(n, int64(maxRequestTime)))
 	}
 	return nil
 }
 
-// longestHold bounds the time of any request.
-const longestHold = duration.DefaultTimeout
+// maxRequestTime bounds the time of any request.
+const maxRequestTime = duration.DefaultTimeout
 
 // resolve finds the route and what it says of the request.
 func (g *Gate) resolve(_ context.Context, c *call) *verdict.Error {
@@ -74,23 +74,23 @@
 		return g.denied(verdict.NoRoute, "no route for host %q and this path", c.r.Host)
 	}
 	c.route = route
-	hold := longestHold
+	limit := maxRequestTime
 	if route.Timeout > 0 {
-		hold = route.Timeout
+		limit = route.Timeout
 	}
-	if c.patience > 0 {
-		hold = min(hold, c.patience)
+	if c.callerTimeout > 0 {
+		limit = min(limit, c.callerTimeout)
 	}
-	c.until = c.start + hold
+	c.giveUpAt = c.start + limit
 	if route.Affine {
 		parts := prompt.Parse(c.r.Header.Get(g.wire.Prompt))
-		c.keys, c.tokens, c.own = prompt.PrefixKeys(parts), prompt.PrefixTokens(parts), prompt.SuffixTokens(parts)
+		c.prefixKeys, c.prefixTokens, c.suffixTokens = prompt.PrefixKeys(parts), prompt.PrefixTokens(parts), prompt.SuffixTokens(parts)
 	}
-	pick := c.id
-	if n := len(c.keys); n > 0 {
-		pick = strconv.FormatUint(c.keys[n-1], 16)
+	pickKey := c.id
+	if n := len(c.prefixKeys); n > 0 {
+		pickKey = strconv.FormatUint(c.prefixKeys[n-1], 16)
 	}
-	c.service = route.Pick(pick)
+	c.service = route.Pick(pickKey)
 	return nil
 }
 
@@ -111,21 +111,21 @@
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, v := range values {
-			n += len(name) + len(v) + headerLine
+			n += len(name) + len(v) + headerLineOverhead
 		}
 	}
 	return n
 }
 
-// headerLine is what a header line has beside name and value, in bytes.
-const headerLine = 4
+// headerLineOverhead is what a header line has beside name and value, in bytes.
+const headerLineOverhead = 4
 
 // denied is the refusal of something that the table does not know. A table
 // that may be out of date only says so.
 func (g *Gate) denied(reason verdict.Reason, format string, args ...any) *verdict.Error {
 	now := g.clk.Now()
 	g.mu.Lock()
-	age, current, back := g.published.Age(now), g.published.Within(denialAge, now), g.retryElsewhere(now)
+	age, current, back := g.tableFreshness.Age(now), g.tableFreshness.Within(maxDenialAge, now), g.retryElsewhere(now)
 	g.mu.Unlock()
 	if !current {
 		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes and keys are %d ms old", age).WithRetryAfter(back)
@@ -141,7 +141,7 @@
 	}
 	now := g.clk.Now()
 	g.mu.Lock()
-	age, current, back := g.published.Age(now), g.published.Within(g.keyAge(), now), g.retryElsewhere(now)
+	age, current, back := g.tableFreshness.Age(now), g.tableFreshness.Within(g.maxKeyAge(), now), g.retryElsewhere(now)
 	g.mu.Unlock()
 	if !current {
 		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's keys are %d ms old and may have been revoked", age).WithRetryAfter(back)
@@ -158,7 +158,7 @@
 
 // read takes the body, within the bounds for its size and its time.
 func (g *Gate) read(ctx context.Context, c *call) *verdict.Error {
-	limit := int64(bodyLimit)
+	limit := int64(defaultBodyLimit)
 	if l := c.table.Limits().BodyBytes; l > 0 {
 		limit = l
 	}
@@ -171,10 +171,10 @@
 	// A connection without deadlines is bounded by the request's context. Unless
 	// the body comes whole the deadline stays: the library reads the rest of a
 	// body before it answers.
-	c.reading = true
-	c.inBody.Store(true)
-	defer c.inBody.Store(false)
-	_ = c.rc.SetReadDeadline(clock.Deadline(c.left(g.clk.Now())))
+	c.bodyRequested = true
+	c.readingBody.Store(true)
+	defer c.readingBody.Store(false)
+	_ = c.rc.SetReadDeadline(clock.Deadline(c.timeLeft(g.clk.Now())))
 	body, err := whole.Read(c.r.Body, c.r.ContentLength, limit)
 	switch {
 	case errors.Is(err, whole.ErrTooLarge):
--- a/gate/respond.go
+++ b/gate/respond.go
@@ -8,8 +8,8 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// problem is the body of a failure.
-type problem struct {
+// failureBody is the body of a failure.
+type failureBody struct {
 	Request string          `json:"request"`
 	Verdict verdict.Verdict `json:"verdict"`
 	Reason  verdict.Reason  `json:"reason"`
@@ -30,19 +30,19 @@
 	NotRun:     http.StatusServiceUnavailable, Otherwise: http.StatusBadGateway,
 }
 
-// style returns how failures are told to callers that name requests by a header.
-func style(requestID string) failure.Style {
+// failureStyle returns how failures are told to callers that name requests by a header.
+func failureStyle(requestID string) failure.Style {
 	return failure.Style{
 		Statuses: statuses,
 		Body: func(f failure.Failure) any {
-			return problem{Request: f.Request, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
+			return failureBody{Request: f.Request, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
 		},
 		Header: func(h http.Header, f failure.Failure) {
 			if f.Request != "" {
 				h.Set(requestID, f.Request)
 			}
 			if f.Err.RetryAfter() > 0 && f.Err.Verdict() == verdict.NotRun {
-				h.Set("Retry-After", seconds(f.Err.RetryAfter()))
+				h.Set("Retry-After", retryAfterValue(f.Err.RetryAfter()))
 			}
 		},
 	}
@@ -59,18 +59,18 @@
 	if perr != nil {
 		g.log.Error("problem_not_encoded", "request", c.id, "error", perr)
 	}
-	g.boundRest(c)
+	g.limitBodyRead(c)
 	c.reply.WriteFailure(status, body)
 }
 
-// boundRest limits the time for the body of a request that is refused before it
+// limitBodyRead limits the time for the body of a request that is refused before it
 // was read: the library reads the rest of it before it answers, and a caller that
 // has fallen silent never sends it. The rest may take as long as a head.
-func (g *Gate) boundRest(c *call) {
-	if !c.hasBody() || c.reading {
+func (g *Gate) limitBodyRead(c *call) {
+	if !c.hasBody() || c.bodyRequested {
 		return
 	}
 	_, head := g.callerTimeouts()
 	// A connection without deadlines is bounded by the request's context.
-	_ = c.rc.SetReadDeadline(clock.Deadline(min(head, max(0, c.left(g.clk.Now())))))
+	_ = c.rc.SetReadDeadline(clock.Deadline(min(head, max(0, c.timeLeft(g.clk.Now())))))
 }
--- a/gate/self.go
+++ b/gate/self.go
@@ -7,8 +7,8 @@
 	"github.com/weldfall/weldfall/common/logline"
 )
 
-// stallLeast is how late a sweep must be for the process to have stood still.
-const stallLeast clock.Millis = 500
+// minStall is how late a sweep must be for the process to have stood still.
+const minStall clock.Millis = 500
 
 // selfCheck is what a process notices of itself.
 type selfCheck struct {
@@ -18,12 +18,12 @@
 }
 
 func newSelfCheck(now clock.Millis) *selfCheck {
-	return &selfCheck{stalls: clock.NewPauseDetector(sweepPeriod+stallLeast, now), dropped: logline.Dropped()}
+	return &selfCheck{stalls: clock.NewPauseDetector(sweepPeriod+minStall, now), dropped: logline.Dropped()}
 }
 
-// look tells how long the process did not run, be it frozen or starved, and how many lines
+// check tells how long the process did not run, be it frozen or starved, and how many lines
 // of the log were lost. It is called every sweepPeriod.
-func (s *selfCheck) look(now clock.Millis, log *slog.Logger) {
+func (s *selfCheck) check(now clock.Millis, log *slog.Logger) {
 	if gap := s.stalls.Tick(now); gap > 0 {
 		log.Warn("stalled", "late_ms", gap-sweepPeriod)
 	}
--- a/gate/server.go
+++ b/gate/server.go
@@ -12,7 +12,7 @@
 
 // Bounds towards callers that hold before the operators' are known.
 const (
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// headerTimeout bounds the time in which a head must arrive.
 	headerTimeout clock.Millis = 5000
 	// idleTimeout is how long an idle connection is kept.
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
 	c.cancel = cancel
-	defer g.leave.done(c)
+	defer g.shutdown.done(c)
 	defer callers.Follow(ctx, cancel)()
 	g.serve(ctx, c)
 	if c.reply.Aborted() {
@@ -38,7 +38,7 @@
 // newCall returns the call of a request whose head has been read.
 func (g *Gate) newCall(w http.ResponseWriter, r *http.Request) *call {
 	now := g.clk.Now()
-	c := &call{w: w, rc: http.NewResponseController(w), r: r, start: now, until: now + longestHold}
+	c := &call{w: w, rc: http.NewResponseController(w), r: r, start: now, giveUpAt: now + maxRequestTime}
 	c.reply = g.replyTo(c)
 	return c
 }
@@ -47,14 +47,14 @@
 // flight has finished or the grace is over.
 func (g *Gate) Run(ctx context.Context, ln net.Listener) error {
 	srv := callers.New(callers.Config{
-		Handler: g, MaxHeader: maxHeader, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
+		Handler: g, MaxHeader: maxHeaderBytes, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
 	})
 	sweepCtx, stopSweep := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSweep()
-	own := newSelfCheck(g.clk.Now())
+	self := newSelfCheck(g.clk.Now())
 	go clock.Every(sweepCtx, sweepPeriod, func() {
 		g.sweep()
-		own.look(g.clk.Now(), g.log)
+		self.check(g.clk.Now(), g.log)
 	})
 	done := make(chan struct{})
 	go func() {
@@ -83,7 +83,7 @@
 func (g *Gate) sweep() {
 	g.pool.Sweep()
 	g.guard.Sweep()
-	g.logRepeats()
+	g.logRetries()
 }
 
 // sweepPeriod is how often a process looks after itself and its connections to engines.
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -17,14 +17,14 @@
 
 // suspect returns the call as the guard knows it.
 func (c *call) suspect() *quarantine.Request {
-	if c.guarded == nil {
+	if c.guardRequest == nil {
 		a := quarantine.RequestKey{Host: strings.ToLower(c.r.Host), Method: c.r.Method, URI: c.r.RequestURI}
 		if c.workspace != nil {
 			a.Workspace = c.workspace.Name
 		}
-		c.guarded = quarantine.NewRequest(c.id, a, c.body)
+		c.guardRequest = quarantine.NewRequest(c.id, a, c.body)
 	}
-	return c.guarded
+	return c.guardRequest
 }
 
 // place decides whether a request may be sent, and to which engine.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return pick{}, err
 	}
-	g.passOverDark(c)
+	g.skipUnresponsive(c)
 	e, err := g.choose(c, alone)
 	switch {
 	case !alone:
@@ -52,7 +52,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch f := g.fleet; {
-	case g.mostEntries <= 1:
+	case g.maxEntries <= 1:
 		return quarantine.Standalone
 	case f.Serving+f.Earlier+f.Later == 0:
 		return quarantine.Isolated
@@ -60,9 +60,9 @@
 	return quarantine.Connected
 }
 
-// learnEnd records what the end of an attempt tells of the request. An engine that ended
+// recordOutcome records what the end of an attempt tells of the request. An engine that ended
 // is asked for no more; which of its requests ended it others may know better.
-func (g *Gate) learnEnd(ctx context.Context, c *call, e pick, o attempt.Outcome) {
+func (g *Gate) recordOutcome(ctx context.Context, c *call, e pick, o attempt.Outcome) {
 	life := e.Incarnation().Mark()
 	switch o := o.(type) {
 	case attempt.Answered:
@@ -70,7 +70,7 @@
 			g.guard.RecordSuccess(c.suspect())
 		}
 	case attempt.Broken:
-		g.learnBreak(ctx, c, e, o.Err)
+		g.recordBreak(ctx, c, e, o.Err)
 	case attempt.Failed, attempt.Refused, attempt.Unsent, attempt.CallerGone:
 	}
 	if c.alone {
@@ -79,9 +79,9 @@
 	}
 }
 
-// learnBreak records that an engine broke off an attempt, or gave no sign of it. The list
+// recordBreak records that an engine broke off an attempt, or gave no sign of it. The list
 // may have told already that it ended.
-func (g *Gate) learnBreak(ctx context.Context, c *call, e pick, err error) {
+func (g *Gate) recordBreak(ctx context.Context, c *call, e pick, err error) {
 	life := e.Incarnation()
 	if g.engineEnded(ctx, e.Info, err) {
 		g.guard.RecordCrash(c.suspect(), life.Mark(), e.ID)
@@ -96,13 +96,13 @@
 	crashed := g.book.Crashed(life)
 	g.mu.Unlock()
 	if crashed {
-		g.guard.RecordIncarnationEnd(life.Mark(), e.ID, groundListed)
+		g.guard.RecordIncarnationEnd(life.Mark(), e.ID, endedByList)
 	}
 }
 
-// groundListed is the ground of ends of which the list of engines told: a later start, or
+// endedByList is the ground of ends of which the list of engines told: a later start, or
 // that the entry is gone.
-const groundListed = "listed"
+const endedByList = "listed"
 
 // engineEnded reports whether an engine ended that broke off an exchange: a connection
 // that breaks alone says nothing of the request.
@@ -110,25 +110,25 @@
 	if !upstream.BrokenOff(err) || ctx.Err() != nil {
 		return false
 	}
-	ended, _, _ := g.inquiries.Do(e.Addr, func() (any, error) {
+	ended, _, _ := g.endChecks.Do(e.Addr, func() (any, error) {
 		return g.pool.Ended(context.WithoutCancel(ctx), e.Addr), nil
 	})
 	if ended != true {
 		return false
 	}
-	g.lost(e.Incarnation())
+	g.markLost(e.Incarnation())
 	return true
 }
 
-// lost records that an engine ended. It gets nothing until it is reached again.
-func (g *Gate) lost(n engines.Incarnation) {
+// markLost records that an engine ended. It gets nothing until it is reached again.
+func (g *Gate) markLost(n engines.Incarnation) {
 	g.mu.Lock()
 	trust := engines.Unchanged
 	if e := g.book.Find(n); e != nil {
 		trust = e.Lost(g.clk.Now())
 	}
 	g.mu.Unlock()
-	g.tellTrust(n, trust, "ended")
+	g.applyTrust(n, trust, "ended")
 }
 
 // reserve keeps others from the engine of a trial until the given time.
