--- a/peers/changes/changes.go
+++ b/peers/changes/changes.go
@@ -1,6 +1,6 @@
-// Package changes keeps what came to a list that many follow, for those that know the list
-// as it was a little earlier: few ask its source, and the others learn from these. It is
-// pure: callers hand in what came and when.
+// Package changes keeps the latest changes of a list that many processes watch, so that a
+// process with a slightly older copy can get them from a peer. Few processes then have to
+// read the source. The package does no I/O; callers pass in changes and times.
 package changes
 
 import (
@@ -10,76 +10,79 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// MaxChanges bounds the changes that are kept and told at once, of some 300 bytes each: a release
-// that replaces five engines a second makes 15 a second, and word of it is 2 s old at most.
+// MaxChanges limits the changes that are kept and sent at once, of some 300 bytes each. A
+// release that replaces five engines a second makes 15 changes a second, and a peer's
+// copy is at most 2 s behind.
 const MaxChanges = 64
 
 // Position is a point in the history of a list.
 type Position struct {
-	// Epoch is that of the source, and Revision means something in it only.
+	// Epoch is the epoch of the source. Revisions of different epochs cannot be compared.
 	Epoch    int64 `json:"e,omitempty"`
 	Revision int64 `json:"r"`
 }
 
-// Change is the latest word on one item.
+// Change is the latest change of one item.
 type Change struct {
 	Key string `json:"k"`
-	// Value is the item as the source has it, none if it is gone.
+	// Value is the item as the source has it, nil if it was removed.
 	Value    []byte `json:"v,omitempty"`
 	Revision int64  `json:"r"`
 	Removed  bool   `json:"x,omitempty"`
 }
 
-// Delta is what one process tells another of a list.
+// Delta is the message that brings a peer's copy of a list from one position to another.
 type Delta struct {
-	// From is how the other knew the list, and To how it is with the changes.
+	// From is the position of the receiver's copy, To that of the copy with Changes
+	// applied.
 	From Position `json:"f"`
 	To   Position `json:"t"`
-	// Sum stands for the whole list with the changes, and Age is how long ago it was last
-	// known to be so.
+	// Sum is the checksum of the whole list at To. Age is the time since the list was
+	// last confirmed to have that checksum.
 	Sum     uint32       `json:"s"`
 	Age     clock.Millis `json:"a"`
 	Changes []Change     `json:"c"`
 }
 
-// PeerDelta is a word of another process.
+// PeerDelta is a delta received from a peer.
 type PeerDelta struct {
 	Delta
-	// Peer is the address of the one that told it, and At when it was true.
+	// Peer is the address of the sender. ValidAt is when the list was last confirmed to
+	// be as at To.
 	Peer    string
 	ValidAt clock.Millis
 }
 
-// Log has the latest changes of a list, and what another process told of it. The zero value
-// has nothing. It is safe for concurrent use.
+// Log holds the latest changes of a list and one delta from a peer that waits to be
+// applied. The zero value is empty and has no position. It is safe for concurrent use.
 type Log struct {
 	mu sync.Mutex
-	// from is the place after which all changes are kept, and to the latest; both are
-	// nowhere until begun.
-	begun    bool
+	// from is the position after which all changes are kept, and to the latest position.
+	// Neither means anything unless valid is true.
+	valid    bool
 	from, to Position
-	// changes has one for each key, by the order in which they came.
+	// changes has at most one change for each key, in order of arrival.
 	changes []Change
-	// told is the word that waits to be taken, nil if none does.
-	told *PeerDelta
+	// pending is the delta that waits to be applied, or nil.
+	pending *PeerDelta
 }
 
-// Reset says that the list is known as it was at a place, however it came to that.
+// Reset sets the position of the list and drops the changes before it.
 func (l *Log) Reset(at Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begun, l.from, l.to, l.changes = true, at, at, nil
+	l.valid, l.from, l.to, l.changes = true, at, at, nil
 }
 
-// Invalidate says that what is known of the list is not so: nothing is told of it until it begins
-// again.
+// Invalidate marks the list as not matching its source. Position and Since report false
+// until the next Reset.
 func (l *Log) Invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begun = false
+	l.valid = false
 }
 
-// Append says what came to the list until a revision of the same epoch.
+// Append adds the changes up to a revision of the current epoch.
 func (l *Log) Append(revision int64, changes []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +92,7 @@
 	}
 	l.to.Revision = max(l.to.Revision, revision)
 	if over := len(l.changes) - MaxChanges; over > 0 {
-		// The order in which they came need not be that of their revisions.
+		// Changes need not arrive in the order of their revisions.
 		for _, c := range l.changes[:over] {
 			l.from.Revision = max(l.from.Revision, c.Revision)
 		}
@@ -97,19 +100,19 @@
 	}
 }
 
-// Position returns how the list is known, or false if it is not.
+// Position returns the latest position, or false if the list is not valid.
 func (l *Log) Position() (Position, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.to, l.begun
+	return l.to, l.valid
 }
 
-// Since returns what came after a place, and up to where, or false if that is not known or
-// nothing did.
+// Since returns the changes after p and the position they lead to. It returns false if
+// there are none or if p is outside the kept history.
 func (l *Log) Since(p Position) (changes []Change, to Position, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.begun || p.Epoch != l.to.Epoch || p.Revision < l.from.Revision || p.Revision >= l.to.Revision {
+	if !l.valid || p.Epoch != l.to.Epoch || p.Revision < l.from.Revision || p.Revision >= l.to.Revision {
 		return nil, Position{}, false
 	}
 	for _, c := range l.changes {
@@ -120,29 +123,27 @@
 	return changes, l.to, len(changes) > 0
 }
 
-// SetPending leaves a word of another process to be taken. The one before it, if it still waits,
-// is dropped.
+// SetPending stores a delta to be applied, in place of one that is still pending.
 func (l *Log) SetPending(t PeerDelta) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = &t
+	l.pending = &t
 }
 
-// HasPending reports whether a word waits to be taken.
 func (l *Log) HasPending() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.told != nil
+	return l.pending != nil
 }
 
-// TakePending returns the word that waits, or false if none does.
+// TakePending removes and returns the pending delta, or false if there is none.
 func (l *Log) TakePending() (PeerDelta, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told == nil {
+	if l.pending == nil {
 		return PeerDelta{}, false
 	}
-	t := *l.told
-	l.told = nil
+	t := *l.pending
+	l.pending = nil
 	return t, true
 }
--- a/peers/export_test.go
+++ b/peers/export_test.go
@@ -5,6 +5,6 @@
 
 // How many loads a question and an answer tell.
 const (
-	LoadsAsked = loadsAsked
-	LoadsTold  = loadsTold
+	LoadsAsked = requestLoads
+	LoadsTold  = responseLoads
 )
--- a/peers/pack.go
+++ b/peers/pack.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// packMost bounds the packed members in one message, and what is taken of one:
-	// 172 bytes, as many as three members in full have.
-	packMost = 16
-	// packSize is the size of one in bytes: an IPv4 address, a port, an age.
-	packSize = 4 + 2 + 2
-	// packAge is the unit in which ages are packed: 16 bits hold eleven minutes.
-	packAge clock.Millis = 10
+	// maxPacked limits the packed members in one message, sent or received: 172 bytes, as
+	// much as three unpacked members take.
+	maxPacked = 16
+	// packedSize is the size of a packed member in bytes: an IPv4 address, a port and an
+	// age.
+	packedSize = 4 + 2 + 2
+	// packedAgeUnit is the unit of packed ages; 16 bits hold eleven minutes.
+	packedAgeUnit clock.Millis = 10
 )
 
-// packable returns an address that can be packed, else the zero value.
-func packable(addr string) netip.AddrPort {
+// ipv4Addr parses an address that can be packed, and returns the zero value for others.
+func ipv4Addr(addr string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil || !a.Addr().Is4() || a.String() != addr {
 		return netip.AddrPort{}
@@ -28,28 +29,29 @@
 	return a
 }
 
-// Pack returns some of the members that serve, for a message, the first of all among
-// them.
+// Pack returns some of the members that are not stopping, encoded for a message. The
+// member that ranks first is always among them, unless it is stopping or cannot be
+// packed.
 func (m *Members) Pack(now clock.Millis) string {
-	b := make([]byte, 0, packMost*packSize)
-	first, ok := m.earliest()
+	b := make([]byte, 0, maxPacked*packedSize)
+	first, ok := m.lowestRanked()
 	if ok {
-		b = first.pack(b, now)
+		b = first.appendPacked(b, now)
 	}
-	for _, k := range m.seen {
-		if len(b) >= packMost*packSize {
+	for _, k := range m.byAddr {
+		if len(b) >= maxPacked*packedSize {
 			break
 		}
 		if k.addr != first.addr {
-			b = k.pack(b, now)
+			b = k.appendPacked(b, now)
 		}
 	}
 	return base64.RawStdEncoding.EncodeToString(b)
 }
 
-// earliest returns the member that comes first in the common order.
-func (m *Members) earliest() (first known, ok bool) {
-	for _, k := range m.seen {
+// lowestRanked returns the member that ranks first, or false if none is known.
+func (m *Members) lowestRanked() (first memberState, ok bool) {
+	for _, k := range m.byAddr {
 		if !ok || k.rank < first.rank {
 			first, ok = k, true
 		}
@@ -57,10 +59,10 @@
 	return first, ok
 }
 
-// pack appends a member that serves. Ages are rounded up, so that it is never told to
-// be fresher than it is.
-func (k known) pack(b []byte, now clock.Millis) []byte {
-	age := (now - k.at + packAge - 1) / packAge
+// appendPacked appends the member to b if it is not stopping and fits. Ages are rounded
+// up, so that a member never appears fresher than it is.
+func (k memberState) appendPacked(b []byte, now clock.Millis) []byte {
+	age := (now - k.seenAt + packedAgeUnit - 1) / packedAgeUnit
 	if k.stop.begun() || !k.addr.IsValid() || age < 0 || age > math.MaxUint16 {
 		return b
 	}
@@ -70,17 +72,18 @@
 	return binary.BigEndian.AppendUint16(b, uint16(age))
 }
 
-// Unpack takes packed members from a message. What is no such text tells of none.
+// Unpack updates the list with the packed members of a message received at now. It
+// ignores text that is malformed or too long.
 func (m *Members) Unpack(text string, now clock.Millis) {
-	if len(text) > base64.RawStdEncoding.EncodedLen(packMost*packSize) {
+	if len(text) > base64.RawStdEncoding.EncodedLen(maxPacked*packedSize) {
 		return
 	}
 	b, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return
 	}
-	for ; len(b) >= packSize; b = b[packSize:] {
+	for ; len(b) >= packedSize; b = b[packedSize:] {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b)), binary.BigEndian.Uint16(b[4:]))
-		m.Update(Member{Addr: addr.String(), Age: clock.Millis(binary.BigEndian.Uint16(b[6:])) * packAge}, now)
+		m.Update(Member{Addr: addr.String(), Age: clock.Millis(binary.BigEndian.Uint16(b[6:])) * packedAgeUnit}, now)
 	}
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -21,200 +21,205 @@
 )
 
 const (
-	// askPeriod is how often a peer is asked. What one process learns reaches
-	// twice as many each round.
-	askPeriod clock.Millis = 400
-	// askLimit is how long an answer is waited for, in time that this process had to
-	// listen: one that stood still knows nothing of the other end.
-	askLimit clock.Millis = 800
-	// linkRest is how long a connection may be without a question: over ten rounds.
-	linkRest clock.Millis = 6000
-	// seedEvery is how many rounds lie between two calls of a seed at least, so that
-	// groups which grew apart meet again. There are as many as entries are known if
-	// these are more, so that the seeds are called no more often in a larger fleet.
-	seedEvery = 15
-	// loadsAsked and loadsTold are how many loads a question and an answer tell, of 9.3
-	// bytes each. Few entries are asked by many, and most by nobody: what these know of
-	// loads comes with the answers that they get.
-	loadsAsked = 6
-	loadsTold  = 24
-	// methodAsk is the name of the call, and methodChanges that of the one that asks for
-	// the latest changes of the list of engines.
+	// exchangePeriod is the average time between two calls to peers. Information reaches
+	// twice as many processes in each round.
+	exchangePeriod clock.Millis = 400
+	// responseTimeout is how long to wait for a response, not counting time in which this
+	// process did not run: a process that was stalled cannot judge the other end.
+	responseTimeout clock.Millis = 800
+	// idleTimeout is how long a connection may go without a request, over ten rounds.
+	idleTimeout clock.Millis = 6000
+	// minSeedRounds is the least number of rounds between two calls to a seed, which
+	// reunite groups that lost sight of each other. In a fleet with more entries than
+	// that, the number of entries is used, so that seeds are called no more often in a
+	// larger fleet.
+	minSeedRounds = 15
+	// requestLoads and responseLoads limit the loads in a request and in a response, of
+	// 9.3 bytes each. Many entries call the same few and most are called by none, so most
+	// learn the loads from the responses that they receive.
+	requestLoads  = 6
+	responseLoads = 24
+	// methodAsk is the method that exchanges states, methodChanges the one that requests
+	// the latest changes of the engine list.
 	methodAsk     = "ask"
 	methodChanges = "changes"
 )
 
-// Status is what a process knows that may be of use to others.
+// Status is what a process reports to its peers.
 type Status struct {
 	// Table is the version in force, zero if there is none.
 	Table int64 `json:"t,omitempty"`
-	// TableAge is how long ago it was last known to be the newest, and Evacuated to
-	// be true.
+	// TableAge is the time since Table was last confirmed to be the newest version and
+	// EvacuatedSum to be right.
 	TableAge clock.Millis `json:"ta,omitempty"`
-	// EvacuatedSum is a sum over the names of the data halls under evacuation, zero
-	// if there are none. It tells whether two processes know of the same.
+	// EvacuatedSum is a checksum of the names of the data halls under evacuation, zero if
+	// there are none.
 	EvacuatedSum uint64 `json:"ev,omitempty"`
 	Loads        Loads  `json:"o,omitempty"`
-	// Epoch is that of the store as the process last met it, zero if it tells none, and
-	// EpochAge how long ago it was first met by anybody that is known.
+	// Epoch is the store's epoch as last seen by the process, zero to report none.
+	// EpochAge is the time since any known process first saw it.
 	Epoch    int64        `json:"e,omitempty"`
 	EpochAge clock.Millis `json:"ea,omitempty"`
-	// Revision is the newest of that epoch which the process knows the store to have
+	// Revision is the latest revision in that epoch which the store is known to have
 	// reached.
 	Revision int64 `json:"r,omitempty"`
-	// ListSum stands for what the list of engines says, zero if the process does not tell,
-	// and ListAge is how long ago that was last known to be so.
+	// ListSum is the checksum of the engine list, zero to report none. ListAge is the
+	// time since the list was last confirmed to have it.
 	ListSum uint32       `json:"l,omitempty"`
 	ListAge clock.Millis `json:"la,omitempty"`
-	// SuspectsComplete is true if the process knows of the requests under which engines ended
-	// before all entries that started lately.
+	// SuspectsComplete is true if the process knows the requests that crashed engines
+	// before all entries that started recently did so.
 	SuspectsComplete bool `json:"rm,omitempty"`
-	// SuspectSum stands for all requests that are suspected to end engines, zero if
-	// there are none, and Suspects tells of some of them.
+	// SuspectSum is the checksum of all requests that are suspected to crash engines,
+	// zero if there are none. Suspects holds some of them, packed.
 	SuspectSum uint64 `json:"qs,omitempty"`
 	Suspects   string `json:"q,omitempty"`
 }
 
-// message is both question and answer.
+// message is both request and response.
 type message struct {
 	Members []Member `json:"m"`
-	// Packed has more of them.
+	// Packed holds further members.
 	Packed string `json:"p,omitempty"`
 	Status Status `json:"k"`
 }
 
-// Host is the process that the peers help.
+// Host is the process that takes part in the exchange.
 type Host interface {
-	// LocalStatus returns what the process knows, with at most so many loads and suspects.
+	// LocalStatus returns the status of the process, with at most the given numbers of
+	// loads and suspects.
 	LocalStatus(loads, suspects int) Status
-	// ReceiveStatus takes what a peer of that id knew at the given time or later. It may be a
-	// lie; only ages, loads and suspects are in it.
+	// ReceiveStatus handles the status of the peer named from, which was valid at the
+	// given time or later. A peer may be wrong or lie; only ages, loads and suspects may
+	// be taken from it.
 	ReceiveStatus(from string, k Status, at clock.Millis)
-	// Stop returns the stop of the process, zero if it is not stopping.
+	// Stop returns the planned stop of the process, zero if it is not stopping.
 	Stop() Stop
-	// SetFleet takes what is known of the others.
+	// SetFleet receives a summary of the known entries.
 	SetFleet(f Fleet)
-	// SetOthers takes how this entry and the others that are known are called among
-	// them; the others are sorted.
+	// SetOthers receives the address of this entry and the sorted addresses of the other
+	// known entries.
 	SetOthers(self string, others []string)
-	// ReceiveLoads takes the loads of a peer that asked.
+	// ReceiveLoads handles the loads in a peer's request.
 	ReceiveLoads(loads []Load, at clock.Millis)
-	// WantedChanges returns how the list of engines is known here if what came to it since is
-	// wanted of a peer that told of the list for which sum stands.
+	// WantedChanges returns the position of the local engine list if later changes are
+	// wanted from a peer whose list has the checksum sum.
 	WantedChanges(sum uint32) (changes.Position, bool)
-	// ChangesSince returns what came to the list after a place, or false if that is not known.
+	// ChangesSince returns the changes of the engine list after p, or false if they are
+	// not known.
 	ChangesSince(p changes.Position) (changes.Delta, bool)
-	// ReceiveChanges takes the answer of the peer at an address that was asked at the given
-	// time. It may be a lie.
+	// ReceiveChanges handles the delta that the peer at an address returned to a request
+	// sent at the given time. It may be false.
 	ReceiveChanges(from string, w changes.Delta, at clock.Millis)
-	// BroadcastSuspects tells others of all suspects at once.
+	// BroadcastSuspects sends all suspects to other entries at once.
 	BroadcastSuspects()
 	gossip.Source
 }
 
-// Config sets up Peers.
+// Config configures Peers.
 type Config struct {
 	ID string
-	// Addr is where this process listens for peers.
+	// Addr is the address on which this process listens for peers.
 	Addr string
-	// Seeds are members to ask while none is known; they may be down.
+	// Seeds are the addresses to call while no member is known, and now and then after.
+	// They may be down.
 	Seeds []string
 	Host  Host
 	Clock *clock.Clock
 	Log   *slog.Logger
 }
 
-// Peers asks and answers other entries.
+// Peers calls other entries and answers their calls.
 type Peers struct {
-	cfg    Config
-	clk    *clock.Clock
-	log    *slog.Logger
-	links  *link.Pool
-	gossip *gossip.Gossip
-	asks   *metrics.Counter
-	failed *metrics.Counter
-	silent *metrics.Counter
+	cfg         Config
+	clk         *clock.Clock
+	log         *slog.Logger
+	links       *link.Pool
+	gossip      *gossip.Gossip
+	requests    *metrics.Counter
+	failures    *metrics.Counter
+	silentConns *metrics.Counter
 
 	mu      sync.Mutex
 	members *Members
-	// alone is what the log was last told.
-	alone bool
-	// differedAt is when a peer last knew other suspects than this process, zero if none
-	// did.
-	differedAt clock.Millis
-	// spreadAt is when all suspects were last told to others at once, zero if they never
-	// were.
-	spreadAt clock.Millis
+	// loggedAlone is whether the last log entry reported that all peers were lost.
+	loggedAlone bool
+	// suspectsDifferedAt is when a peer last had other suspects than this process, zero
+	// if none did.
+	suspectsDifferedAt clock.Millis
+	// broadcastAt is when all suspects were last broadcast, zero if they never were.
+	broadcastAt clock.Millis
 }
 
 var _ link.Handler = (*Peers)(nil)
 
-// New returns peers that are not yet running.
+// New returns Peers that are not running yet.
 func New(cfg Config) *Peers {
 	p := &Peers{
-		cfg: cfg, clk: cfg.Clock, log: cfg.Log, members: NewMembers(Member{ID: cfg.ID, Addr: cfg.Addr}), alone: true,
-		asks:   metrics.GetOrCreateCounter("weldfall_peer_asks_total"),
-		failed: metrics.GetOrCreateCounter("weldfall_peer_asks_failed_total"),
-		silent: metrics.GetOrCreateCounter(`weldfall_silent_connections_total{to="peer"}`),
+		cfg: cfg, clk: cfg.Clock, log: cfg.Log, members: NewMembers(Member{ID: cfg.ID, Addr: cfg.Addr}), loggedAlone: true,
+		requests:    metrics.GetOrCreateCounter("weldfall_peer_asks_total"),
+		failures:    metrics.GetOrCreateCounter("weldfall_peer_asks_failed_total"),
+		silentConns: metrics.GetOrCreateCounter(`weldfall_silent_connections_total{to="peer"}`),
 	}
 	p.links = link.NewPool(cfg.Clock, p)
 	// Connections may have died while the instance was suspended.
 	cfg.Clock.OnSuspend(func(clock.Millis) { p.links.CloseSilent(p.clk.Now()) })
-	p.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: cfg.Host, Links: p.links, RandomPeers: p.some, Log: cfg.Log})
+	p.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: cfg.Host, Links: p.links, RandomPeers: p.randomPeers, Log: cfg.Log})
 	return p
 }
 
-// Count returns the number of entries that are known, this one included.
+// Count returns the number of known entries, this one included.
 func (p *Peers) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.members.Count()
 }
 
-// Run asks peers, and answers those that come in on ln, until ctx is done.
+// Run calls peers and serves their calls on ln until ctx is done.
 func (p *Peers) Run(ctx context.Context, ln net.Listener) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		if err := link.Serve(ctx, ln, p.clk, p, linkRest); err != nil {
+		if err := link.Serve(ctx, ln, p.clk, p, idleTimeout); err != nil {
 			p.log.Error("peers_not_served", "error", err)
 		}
 	})
 	wg.Go(func() { p.gossip.Run(ctx) })
-	wg.Go(func() { p.askLost(ctx) })
+	wg.Go(func() { p.retryFailed(ctx) })
 	for n := 0; ctx.Err() == nil; n++ {
-		p.ask(ctx, n)
-		clock.Sleep(ctx, roundPause())
+		p.runRound(ctx, n)
+		clock.Sleep(ctx, randomPause())
 	}
 	p.links.Close()
 	wg.Wait()
 }
 
-// roundPause is the time between two rounds. A third of it is random, so that processes do
-// not keep step.
-func roundPause() clock.Millis {
-	return askPeriod - askPeriod/6 + clock.Millis(rand.Int64N(int64(askPeriod/3)))
+// randomPause returns the time until the next round. A third of it is random, so that
+// processes do not synchronize.
+func randomPause() clock.Millis {
+	return exchangePeriod - exchangePeriod/6 + clock.Millis(rand.Int64N(int64(exchangePeriod/3)))
 }
 
-// askLost asks one of the members in each round that were asked in vain: where most of them
-// lost power, those that are back know each other and none that went on.
-func (p *Peers) askLost(ctx context.Context) {
-	for clock.Sleep(ctx, roundPause()) {
+// retryFailed calls a random member whose last call failed in each round. Without it,
+// after most entries lost power, those that restart would know only each other and none
+// of the entries that kept running.
+func (p *Peers) retryFailed(ctx context.Context) {
+	for clock.Sleep(ctx, randomPause()) {
 		p.mu.Lock()
 		addr := p.members.RandomFailed()
 		p.mu.Unlock()
 		if addr != "" {
-			p.askAt(ctx, addr)
+			p.exchange(ctx, addr)
 		}
 	}
 }
 
-// target returns whom to ask in round n.
-func (p *Peers) target(n int) string {
+// nextAddr returns the address to call in round n, or "" if there is none.
+func (p *Peers) nextAddr(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.Expire(p.clk.Now())
 	addr := p.members.NextPeer()
-	if (addr == "" || n%max(seedEvery, p.members.Count()) == 0) && len(p.cfg.Seeds) > 0 {
+	if (addr == "" || n%max(minSeedRounds, p.members.Count()) == 0) && len(p.cfg.Seeds) > 0 {
 		if seed := p.cfg.Seeds[rand.IntN(len(p.cfg.Seeds))]; seed != p.cfg.Addr {
 			addr = seed
 		}
@@ -222,77 +227,80 @@
 	return addr
 }
 
-func (p *Peers) ask(ctx context.Context, n int) {
-	addr := p.target(n)
+// runRound calls one peer.
+func (p *Peers) runRound(ctx context.Context, n int) {
+	addr := p.nextAddr(n)
 	if addr == "" {
 		return
 	}
-	if n%seedEvery == 0 {
-		p.links.CloseSilent(p.clk.Now() - linkRest)
+	if n%minSeedRounds == 0 {
+		p.links.CloseSilent(p.clk.Now() - idleTimeout)
 	}
-	p.askAt(ctx, addr)
-	p.tellAlone()
+	p.exchange(ctx, addr)
+	p.publishFleet()
 }
 
-// askAt asks the peer at an address.
-func (p *Peers) askAt(ctx context.Context, addr string) {
+// exchange exchanges states with the peer at addr. If an existing connection turns out to
+// be silent, it retries once on a new one.
+func (p *Peers) exchange(ctx context.Context, addr string) {
 	at := p.clk.Now()
-	answer, err := p.call(ctx, addr)
+	res, err := p.call(ctx, addr)
 	if errors.Is(err, silence.ErrSilent) {
 		sent := at
 		at = p.clk.Now()
-		if answer, err = p.call(ctx, addr); err == nil {
-			p.doubt(addr, sent)
+		if res, err = p.call(ctx, addr); err == nil {
+			p.closeSilent(addr, sent)
 		}
 	}
 	if err != nil {
-		p.failed.Inc()
+		p.failures.Inc()
 		p.log.Debug("ask_failed", "peer", addr, "error", err)
 		p.mu.Lock()
 		p.members.MarkFailed(addr, p.clk.Now())
 		p.mu.Unlock()
 		return
 	}
-	p.learn(answer, at)
-	p.cfg.Host.ReceiveStatus(answer.sender(), answer.Status, at)
-	if !answer.Status.SuspectsComplete {
-		p.remind(p.cfg.Host.LocalStatus(0, 0), answer)
+	p.updateMembers(res, at)
+	p.cfg.Host.ReceiveStatus(res.sender(), res.Status, at)
+	if !res.Status.SuspectsComplete {
+		p.maybeBroadcast(p.cfg.Host.LocalStatus(0, 0), res)
 	}
-	p.askChanges(ctx, addr, answer.Status.ListSum)
+	p.fetchChanges(ctx, addr, res.Status.ListSum)
 }
 
-// call asks addr, over the connection that is there or a new one. One that gives
-// no answer is closed, so that the next call dials anew. The error is
-// silence.ErrSilent if a connection was there and gave no answer in time.
+// call sends a request to addr over the existing connection or a new one, and closes the
+// connection on failure, so that the next call dials again. The error is
+// silence.ErrSilent if the connection was open but no response arrived in time.
 func (p *Peers) call(ctx context.Context, addr string) (message, error) {
-	p.asks.Inc()
-	question := p.question()
-	ctx, cancel := silence.New().Context(ctx, 0, askLimit)
+	p.requests.Inc()
+	req := p.request()
+	ctx, cancel := silence.New().Context(ctx, 0, responseTimeout)
 	defer cancel()
 	c, err := p.links.Get(addr, link.Control)
 	if err != nil {
 		return message{}, err
 	}
-	var answer message
-	if err := c.Call(ctx, methodAsk, question, &answer); err != nil {
+	var res message
+	if err := c.Call(ctx, methodAsk, req, &res); err != nil {
 		c.Close()
 		if errors.Is(context.Cause(ctx), silence.ErrSilent) {
 			err = fmt.Errorf("%w: %w", silence.ErrSilent, err)
 		}
 		return message{}, err
 	}
-	return answer, nil
+	return res, nil
 }
 
-// askChanges asks the peer at addr, which told of the list of engines for which sum stands,
-// for what came to it, if that is wanted. A peer that cannot tell costs a message.
-func (p *Peers) askChanges(ctx context.Context, addr string, sum uint32) {
+// fetchChanges requests changes of the engine list from the peer at addr, whose list has
+// the checksum sum, if the host wants them. A peer that does not have them answers with
+// an error, which costs one message.
+func (p *Peers) fetchChanges(ctx context.Context, addr string, sum uint32) {
 	place, ok := p.cfg.Host.WantedChanges(sum)
 	if !ok {
 		return
 	}
 	at := p.clk.Now()
-	ctx, cancel := silence.New().Context(ctx, 0, askLimit)
+	ctx, cancel := silence.New().Context(ctx, 0, responseTimeout)
 	defer cancel()
 	c, err := p.links.Get(addr, link.Control)
 	if err != nil {
@@ -307,17 +315,17 @@
 	p.cfg.Host.ReceiveChanges(addr, w, at)
 }
 
-// doubt closes the connections that were not heard since a question was sent
-// that got its answer on a new connection only: where one is silent others are,
-// and each would cost a round to find out.
-func (p *Peers) doubt(addr string, sent clock.Millis) {
-	p.silent.Inc()
+// closeSilent closes all connections without received data since sent, the time of a
+// request that was answered only over a new connection. When one connection is silent
+// others are too, and each would cost a round to detect.
+func (p *Peers) closeSilent(addr string, sent clock.Millis) {
+	p.silentConns.Inc()
 	n := p.links.CloseSilent(sent)
 	p.log.Warn("connection_silent", "to", "peer", "addr", addr, "silent_ms", p.clk.Now()-sent, "closed", n)
 }
 
-// message makes a message of what this process knows.
-func (p *Peers) message(k Status) message {
+// newMessage returns a message with the status k and some members.
+func (p *Peers) newMessage(k Status) message {
 	stop := p.cfg.Host.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -326,7 +334,7 @@
 	return message{Members: p.members.Sample(now), Packed: p.members.Pack(now), Status: k}
 }
 
-// sender is the id of the process that a message is of.
+// sender returns the ID of the process that sent the message, or "".
 func (m message) sender() string {
 	if len(m.Members) == 0 {
 		return ""
@@ -334,7 +342,7 @@
 	return m.Members[0].ID
 }
 
-func (p *Peers) learn(m message, at clock.Millis) {
+func (p *Peers) updateMembers(m message, at clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, o := range m.Members {
@@ -343,15 +351,16 @@
 	p.members.Unpack(m.Packed, at)
 }
 
-// tellAlone logs when the last peer is lost and the first regained.
-func (p *Peers) tellAlone() {
+// publishFleet passes the known entries to the host, and logs when the last peer is lost
+// and the first one found again.
+func (p *Peers) publishFleet() {
 	p.mu.Lock()
 	f := p.members.Fleet(p.clk.Now())
 	n := f.Entries
 	p.cfg.Host.SetFleet(f)
 	p.cfg.Host.SetOthers(p.cfg.Addr, p.members.others())
-	changed := p.alone != (n == 1)
-	p.alone = n == 1
+	changed := p.loggedAlone != (n == 1)
+	p.loggedAlone = n == 1
 	p.mu.Unlock()
 	switch {
 	case changed && n == 1:
@@ -365,7 +374,7 @@
 func (p *Peers) Call(_ context.Context, _ *link.Conn, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case methodAsk:
-		return p.asked(method, params)
+		return p.handleRequest(method, params)
 	case methodChanges:
 		place, err := wire.Decode[changes.Position](method, params)
 		if err != nil {
@@ -374,21 +383,21 @@
 		if w, ok := p.cfg.Host.ChangesSince(place); ok {
 			return w, nil
 		}
-		return nil, fmt.Errorf("the changes since revision %d of epoch %d are not known here", place.Revision, place.Epoch)
+		return nil, fmt.Errorf("no changes since revision %d of epoch %d: position is outside the change log", place.Revision, place.Epoch)
 	}
 	return nil, fmt.Errorf("unknown method %q", method)
 }
 
-// asked answers a question.
-func (p *Peers) asked(method string, params json.RawMessage) (any, error) {
-	question, err := wire.Decode[message](method, params)
+// handleRequest applies a peer's request and returns the response.
+func (p *Peers) handleRequest(method string, params json.RawMessage) (any, error) {
+	req, err := wire.Decode[message](method, params)
 	if err != nil {
 		return nil, err
 	}
 	now := p.clk.Now()
-	p.learn(question, now)
-	p.cfg.Host.ReceiveLoads(question.Status.Loads, now)
-	return p.answer(question), nil
+	p.updateMembers(req, now)
+	p.cfg.Host.ReceiveLoads(req.Status.Loads, now)
+	return p.response(req), nil
 }
 
 // Notify implements link.Handler.
@@ -398,5 +407,5 @@
 	}
 }
 
-// Frame implements link.Handler. Peers send no answers of engines.
+// Frame implements link.Handler. Peers send no frames.
 func (p *Peers) Frame(wire.Frame) {}
--- a/peers/share.go
+++ b/peers/share.go
@@ -8,17 +8,17 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Shares divides what all entries together may do among them, without talk: all
-// that know of the same entries agree on who has what, and the parts sum up to
-// the whole. The zero value is one entry alone. It is immutable.
+// Shares divides fleet-wide quotas among the entries without coordination. Entries that
+// know the same others compute matching parts, which add up to the whole. The zero value
+// is an entry that is alone. Shares is immutable.
 type Shares struct {
 	self string
-	// seeds has one number for each other entry.
+	// seeds holds the hash of each other entry's name.
 	seeds []uint64
 }
 
-// NewShares returns the shares of the entry self among others. If fewer than
-// least entries are known, this one included, the rest are taken to be there.
+// NewShares returns the shares of the entry self among others. Missing entries are made
+// up until there are least, this one included.
 func NewShares(self string, others []string, least int) Shares {
 	s := Shares{self: self}
 	for _, id := range others {
@@ -30,19 +30,20 @@
 	return s
 }
 
-// Part returns this entry's part of a whole. What is left when all have the same
-// goes to one more each of some entries, to others for another key.
+// Part returns this entry's part of a whole. The remainder of an even division is handed
+// out one by one to the entries that rank first for the key, so that different entries
+// get it for different keys.
 func (s Shares) Part(whole int, key string) int {
 	n := len(s.seeds) + 1
 	part, left := whole/n, whole%n
-	if s.before(key) < left {
+	if s.rank(key) < left {
 		part++
 	}
 	return part
 }
 
-// before returns how many entries come before this one in the order for a key.
-func (s Shares) before(key string) int {
+// rank returns how many entries rank before this one for a key.
+func (s Shares) rank(key string) int {
 	own := xxh3.HashStringSeed(key, xxh3.HashString(s.self))
 	n := 0
 	for _, seed := range s.seeds {
@@ -53,5 +54,4 @@
 	return n
 }
 
-// others returns the addresses of the other entries, sorted.
-func (m *Members) others() []string { return slices.Sorted(maps.Keys(m.seen)) }
+func (m *Members) others() []string { return slices.Sorted(maps.Keys(m.byAddr)) }
--- a/peers/suspects.go
+++ b/peers/suspects.go
@@ -7,48 +7,50 @@
 	"github.com/weldfall/weldfall/engines/quarantine/gossip"
 )
 
-// differFor is how long after it met a peer that knows other suspects a process tells some
-// with its questions, too: a few rounds.
-const differFor clock.Millis = 2000
+// suspectsDifferFor is how long after meeting a peer with other suspects a process sends
+// suspects with its requests too. It covers a few rounds.
+const suspectsDifferFor clock.Millis = 2000
 
-// remindEvery bounds how often all suspects are told at once.
-const remindEvery clock.Millis = 1000
+// minBroadcastInterval is the least time between two broadcasts of all suspects.
+const minBroadcastInterval clock.Millis = 1000
 
-// question is what a peer is asked with.
-func (p *Peers) question() message {
-	k := p.cfg.Host.LocalStatus(loadsAsked, gossip.MaxRequestSuspects)
+// request returns the message that a call sends.
+func (p *Peers) request() message {
+	k := p.cfg.Host.LocalStatus(requestLoads, gossip.MaxRequestSuspects)
 	p.mu.Lock()
-	at := p.differedAt
+	at := p.suspectsDifferedAt
 	p.mu.Unlock()
-	if at == 0 || p.clk.Now()-at > differFor {
+	if at == 0 || p.clk.Now()-at > suspectsDifferFor {
 		k.Suspects = ""
 	}
-	return p.message(k)
+	return p.newMessage(k)
 }
 
-// answer is what a peer is told that asked. Suspects are in it if the peer knows others.
-func (p *Peers) answer(question message) message {
-	p.cfg.Host.ReceiveSuspects(question.sender(), question.Status.Suspects)
-	k := p.cfg.Host.LocalStatus(loadsTold, gossip.MaxResponseSuspects)
-	if !p.differ(k, question.Status) {
+// response returns the answer to a request. It includes suspects if the peer knows
+// others.
+func (p *Peers) response(req message) message {
+	p.cfg.Host.ReceiveSuspects(req.sender(), req.Status.Suspects)
+	k := p.cfg.Host.LocalStatus(responseLoads, gossip.MaxResponseSuspects)
+	if !p.suspectsDiffer(k, req.Status) {
 		k.Suspects = ""
 	}
-	p.remind(k, question)
-	return p.message(k)
+	p.maybeBroadcast(k, req)
+	return p.newMessage(k)
 }
 
-// remind has all suspects told to others at once if this process knows them and the peer
-// that a message came from does not: a process that has just started sends requests before
-// it has asked one that remembers, and others have likely started with it.
-func (p *Peers) remind(own Status, m message) {
+// maybeBroadcast sends all suspects to other entries if this process knows them and the
+// peer that sent m does not. A process that has just started accepts requests before its
+// first exchange with a peer that knows the suspects, and others have likely started with
+// it.
+func (p *Peers) maybeBroadcast(own Status, m message) {
 	if !own.SuspectsComplete || m.Status.SuspectsComplete || own.SuspectSum == 0 || own.SuspectSum == m.Status.SuspectSum {
 		return
 	}
 	p.mu.Lock()
 	now := p.clk.Now()
-	due := p.spreadAt == 0 || now-p.spreadAt >= remindEvery
+	due := p.broadcastAt == 0 || now-p.broadcastAt >= minBroadcastInterval
 	if due {
-		p.spreadAt = now
+		p.broadcastAt = now
 	}
 	p.mu.Unlock()
 	if due {
@@ -57,37 +59,39 @@
 	}
 }
 
-// differ reports whether a peer knows other suspects than this process, and notes it.
-func (p *Peers) differ(own, peer Status) bool {
+// suspectsDiffer reports whether a peer knows other suspects than this process, and if so
+// records the time.
+func (p *Peers) suspectsDiffer(own, peer Status) bool {
 	if own.SuspectSum == peer.SuspectSum {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.differedAt = p.clk.Now()
+	p.suspectsDifferedAt = p.clk.Now()
 	return true
 }
 
-// some returns up to n members by chance, those that can be asked first.
-func (p *Peers) some(n int) []string {
+// randomPeers returns up to n random members, with those whose last call failed at the
+// end.
+func (p *Peers) randomPeers(n int) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.members.some(n)
+	return p.members.random(n)
 }
 
-// some returns up to n members by chance, those that can be asked first.
-func (m *Members) some(n int) []string {
-	var good, failed []string
-	for addr, k := range m.seen {
+// random returns up to n random members, with those whose last call failed at the end.
+func (m *Members) random(n int) []string {
+	var reachable, failed []string
+	for addr, k := range m.byAddr {
 		if k.failed() {
 			failed = append(failed, addr)
 		} else {
-			good = append(good, addr)
+			reachable = append(reachable, addr)
 		}
 	}
-	for _, in := range [][]string{good, failed} {
+	for _, in := range [][]string{reachable, failed} {
 		rand.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
 	}
-	all := append(good, failed...)
+	all := append(reachable, failed...)
 	return all[:min(n, len(all))]
 }
