--- a/gate/amnesia.go
+++ b/gate/amnesia.go
@@ -21,7 +21,7 @@
 	if !begins {
 		return
 	}
-	g.guard.SetHistoryLostUntil(now + historyUnknownFor)
+	g.guard.SetHistoryUnknownUntil(now + historyUnknownFor)
 	g.log.Info("strikes_unknown", "for_ms", historyUnknownFor)
 }
 
@@ -42,6 +42,6 @@
 	if !ends {
 		return
 	}
-	g.guard.SetHistoryLostUntil(0)
+	g.guard.SetHistoryUnknownUntil(0)
 	g.log.Info("strikes_known", "told_by", from)
 }
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -20,7 +20,7 @@
 	assumedEntries              = minRetryParts
 )
 
-// SetOthers implements peers.Facts. An entry that loses sight of others cannot
+// SetOthers implements peers.Host. An entry that loses sight of others cannot
 // tell whether they ended, so it goes on counting as many as it ever knew.
 func (g *Gate) SetOthers(self string, others []string) {
 	g.mu.Lock()
@@ -57,7 +57,7 @@
 	part, ok := g.warmupParts[id]
 	if !ok {
 		b := g.bounds()
-		part = g.shares.Of(int(sharedPart*(s.WarmupRate*b.WarmupOverrun+b.WarmupExtra)), id)
+		part = g.shares.Part(int(sharedPart*(s.WarmupRate*b.WarmupOverrun+b.WarmupExtra)), id)
 		g.warmupParts[id] = part
 	}
 	return part
