--- a/gate/epoch.go
+++ b/gate/epoch.go
@@ -45,25 +45,25 @@
 	return g.epoch.Later() && g.epoch.Age(at) < peerAheadMaxAge && g.peerAheadAt > 0 && at-g.peerAheadAt < peerAheadFor
 }
 
-// StoreEpoch records that an answer to what was asked at the given time was of a later
+// SetStoreEpoch records that an answer to what was asked at the given time was of a later
 // epoch of the store.
-func (g *Gate) StoreEpoch(epoch int64, at clock.Millis) {
+func (g *Gate) SetStoreEpoch(epoch int64, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.epoch.See(epoch, at)
 	g.epochMissed = false
 }
 
-// StoreDoubted reports whether the store may lack at the given time what it had said
+// StoreMayBeStale reports whether the store may lack at the given time what it had said
 // before its epoch.
-func (g *Gate) StoreDoubted(at clock.Millis) bool {
+func (g *Gate) StoreMayBeStale(at clock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.epoch.Doubts(at)
 }
 
-// EpochMissed reports, once, that another entry has met a later epoch.
-func (g *Gate) EpochMissed() bool {
+// TakeMissedEpoch reports, once, that another entry has met a later epoch.
+func (g *Gate) TakeMissedEpoch() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	missed := g.epochMissed
@@ -89,16 +89,16 @@
 	}
 }
 
-// StoreReached records that an answer of the store was of a revision of an epoch.
-func (g *Gate) StoreReached(epoch, revision int64) {
+// ObserveStoreRevision records that an answer of the store was of a revision of an epoch.
+func (g *Gate) ObserveStoreRevision(epoch, revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advanceRevision(epoch, revision)
 }
 
-// StoreBehind records that the store was found at a revision that is older than it was
+// CorrectStoreRevision records that the store was found at a revision that is older than it was
 // said to have reached.
-func (g *Gate) StoreBehind(epoch, revision int64) {
+func (g *Gate) CorrectStoreRevision(epoch, revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.progress = storeProgress{epoch: epoch, revision: revision, ignorePeersUntil: g.clk.Now() + ignorePeersFor}
--- a/gate/epoch_test.go
+++ b/gate/epoch_test.go
@@ -41,9 +41,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g, clk := newGate(t, false)
-				g.StoreEpoch(1, clk.Now())
+				g.SetStoreEpoch(1, clk.Now())
 				time.Sleep(time.Second)
-				g.StoreEpoch(2, clk.Now())
+				g.SetStoreEpoch(2, clk.Now())
 				time.Sleep(time.Second)
 				tc.prove(g, clk)
 				if got := age(g); got != tc.want {
@@ -62,7 +62,7 @@
 func TestANewerVersionElsewhereHoldsOffAProofForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := newGate(t, false)
-		g.StoreEpoch(2, clk.Now())
+		g.SetStoreEpoch(2, clk.Now())
 		start := clk.Now()
 		for age(g) == clk.Now()-start && clk.Now()-start < 20_000 {
 			time.Sleep(400 * time.Millisecond)
@@ -82,7 +82,7 @@
 		asked := 0
 		for n := range int64(100) {
 			g.ReceiveStatus("edge-2", peers.Status{Epoch: 10 + n}, clk.Now())
-			if g.EpochMissed() {
+			if g.TakeMissedEpoch() {
 				asked++
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -90,7 +90,7 @@
 		if asked < 1 || asked > 5 {
 			t.Errorf("got the store asked %d times in 10 s, want once in two seconds at most", asked)
 		}
-		if g.StoreDoubted(clk.Now()) {
+		if g.StoreMayBeStale(clk.Now()) {
 			t.Error("got doubts of the store by the word of a peer, want none")
 		}
 	})
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -49,11 +49,11 @@
 	maxLoadAge clock.Millis = 2000
 )
 
-// TableDue reports whether the table in force should be confirmed: it has not
+// TableConfirmationDue reports whether the table in force should be confirmed: it has not
 // been for a while, or a peer has a newer one. The first of the entries does so
 // early and the others hear of it; where it cannot, one of them does by chance
 // before all must. lag is how old a confirmation will be when it comes.
-func (g *Gate) TableDue(lag clock.Millis) bool {
+func (g *Gate) TableConfirmationDue(lag clock.Millis) bool {
 	t := g.table.Load()
 	if t == nil {
 		return false
@@ -76,9 +76,9 @@
 	return g.confirmationDue(older)
 }
 
-// StoreAsked tells whether many entries are known that ask the store, too, and whether one
+// StoreContention tells whether many entries are known that ask the store, too, and whether one
 // of them had an answer lately. Nobody's word helps an entry that cannot serve yet.
-func (g *Gate) StoreAsked() (many, answered bool) {
+func (g *Gate) StoreContention() (many, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	many = g.fleet.Entries > fewEntries && g.table.Load() != nil && g.listFreshness.Known()
--- a/gate/facts_test.go
+++ b/gate/facts_test.go
@@ -30,7 +30,7 @@
 func due(t *testing.T, g *gate.Gate, clk *clock.Clock) clock.Millis {
 	t.Helper()
 	start := clk.Now()
-	for !g.TableDue(0) {
+	for !g.TableConfirmationDue(0) {
 		if clk.Now()-start > 10_000 {
 			t.Fatal("got a table that is never due")
 		}
--- a/gate/list.go
+++ b/gate/list.go
@@ -69,8 +69,8 @@
 	return g.book.WasListed(n)
 }
 
-// DoubtEngine records that the list lacks an engine that may come back.
-func (g *Gate) DoubtEngine(id string) {
+// MarkEngineMissing records that the list lacks an engine that may come back.
+func (g *Gate) MarkEngineMissing(id string) {
 	g.mu.Lock()
 	news := g.book.Doubt(id)
 	g.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// MaskEngine records that the entry of an engine names no engine to use.
-func (g *Gate) MaskEngine(id, cause string) {
+// MarkEngineUnreadable records that the entry of an engine names no engine to use.
+func (g *Gate) MarkEngineUnreadable(id, cause string) {
 	g.mu.Lock()
 	news := g.book.Mask(id)
 	g.mu.Unlock()
--- a/gate/listing.go
+++ b/gate/listing.go
@@ -81,9 +81,9 @@
 	return first
 }
 
-// HearEngines records that by another's word the list, for which sum stands, was complete at
+// ConfirmEnginesByPeer records that by another's word the list, for which sum stands, was complete at
 // the given time.
-func (g *Gate) HearEngines(sum uint32, at clock.Millis) {
+func (g *Gate) ConfirmEnginesByPeer(sum uint32, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.list.unverifiedSince == 0 {
@@ -103,8 +103,8 @@
 // Changes returns what came to the list lately.
 func (g *Gate) Changes() *changes.Log { return &g.changes }
 
-// WatchEngines records whether a watch waits for changes of the list.
-func (g *Gate) WatchEngines(waits bool) {
+// SetEngineWatchActive records whether a watch waits for changes of the list.
+func (g *Gate) SetEngineWatchActive(waits bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.list.watched = waits
@@ -132,9 +132,9 @@
 	return clock.Millis(float64(PropagationLag) * min(1, math.Log(float64(n))/math.Log(propagationEntries)))
 }
 
-// ListDue reports whether the store should be asked for the list of engines, if none asks
+// ListReadDue reports whether the store should be asked for the list of engines, if none asks
 // it: nobody has for a while, or another entry knows a later one.
-func (g *Gate) ListDue() bool {
+func (g *Gate) ListReadDue() bool {
 	due := drainingDuePart * float64(g.bounds().Draining)
 	now := g.clk.Now()
 	g.mu.Lock()
--- a/gate/listing_test.go
+++ b/gate/listing_test.go
@@ -23,7 +23,7 @@
 	clk := clock.System()
 	g := gate.New(gate.Config{Clock: clk, Log: slog.New(slog.DiscardHandler), Bounds: gate.Bounds{Revocation: 5000, Change: 2000, Draining: leavingBound}})
 	g.SetFleet(peers.Fleet{Entries: many, First: first})
-	g.StoreEpoch(1, clk.Now())
+	g.SetStoreEpoch(1, clk.Now())
 	g.ConfirmEngines(sum, clk.Now())
 	return g, clk
 }
@@ -32,7 +32,7 @@
 func listDue(t *testing.T, g *gate.Gate, clk *clock.Clock, meanwhile func()) clock.Millis {
 	t.Helper()
 	start := clk.Now()
-	for !g.ListDue() {
+	for !g.ListReadDue() {
 		if clk.Now()-start > 120_000 {
 			t.Fatal("got a list that is never due")
 		}
@@ -103,7 +103,7 @@
 			if sum := lie(); sum != 0 {
 				g.ReceiveStatus("edge-3", peers.Status{Epoch: 1, ListSum: sum}, clk.Now())
 			}
-			if g.ListDue() {
+			if g.ListReadDue() {
 				n++
 				g.ConfirmEngines(7, clk.Now())
 			}
@@ -152,12 +152,12 @@
 		if want := (changes.Position{Epoch: 1, Revision: 10}); !ok || place != want {
 			t.Fatalf("got changes since %v wanted: %v, want since %v", place, ok, want)
 		}
-		if g.ListDue() {
+		if g.ListReadDue() {
 			t.Error("got the store asked at once, want others' word waited for")
 		}
 		g.ReceiveChanges("edge-3", changes.Delta{From: place, Sum: 9}, clk.Now())
 		time.Sleep(400 * time.Millisecond)
-		if _, ok := g.WantedChanges(9); ok || g.ListDue() {
+		if _, ok := g.WantedChanges(9); ok || g.ListReadDue() {
 			t.Error("got the store or others asked while a word waits to be taken")
 		}
 		told, ok := g.Changes().TakePending()
@@ -165,12 +165,12 @@
 			t.Fatalf("got the word %+v, %v, want that of edge-3", told, ok)
 		}
 		// It did not fit.
-		if !g.ListDue() {
+		if !g.ListReadDue() {
 			t.Error("got the store not asked though others' word did not help")
 		}
 		// It did.
-		g.HearEngines(9, told.ValidAt)
-		if g.ListDue() || g.LocalStatus(0, 0).ListSum != 9 {
+		g.ConfirmEnginesByPeer(9, told.ValidAt)
+		if g.ListReadDue() || g.LocalStatus(0, 0).ListSum != 9 {
 			t.Error("got the list of before, want the one that was told")
 		}
 	})
@@ -180,7 +180,7 @@
 func TestWhatOthersToldIsProvedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := listGate(false, 7)
-		g.HearEngines(8, clk.Now())
+		g.ConfirmEnginesByPeer(8, clk.Now())
 		say := func() { g.ReceiveStatus("edge-2", peers.Status{Epoch: 1, ListSum: 8}, clk.Now()) }
 		if got := listDue(t, g, clk, say); got < 15_000 || got > 20_200 {
 			t.Errorf("got the list due after %d ms, want 20 s", got)
@@ -207,7 +207,7 @@
 		if _, ok := g.ChangesSince(changes.Position{Epoch: 1, Revision: 12}); ok {
 			t.Error("got changes since the latest, want none")
 		}
-		g.StoreEpoch(2, clk.Now())
+		g.SetStoreEpoch(2, clk.Now())
 		if _, ok := g.ChangesSince(since); ok {
 			t.Error("got changes of a store in doubt, want none")
 		}
@@ -222,7 +222,7 @@
 			t.Fatalf("got a list that is not shared among many, want it to be")
 		}
 		time.Sleep(time.Second)
-		g.StoreEpoch(2, clk.Now())
+		g.SetStoreEpoch(2, clk.Now())
 		g.ConfirmEngines(7, clk.Now())
 		if g.ListShared() || g.LocalStatus(0, 0).ListSum != 0 {
 			t.Errorf("got a list of a store in doubt shared, want not")
@@ -279,7 +279,7 @@
 					g.ReceiveStatus("edge-2", *tc.told, clk.Now())
 				}
 				time.Sleep(tc.pass)
-				if many, answered := g.StoreAsked(); many != tc.many || answered != tc.answered {
+				if many, answered := g.StoreContention(); many != tc.many || answered != tc.answered {
 					t.Errorf("got many %v, answered %v, want %v, %v", many, answered, tc.many, tc.answered)
 				}
 			})
@@ -371,7 +371,7 @@
 			}
 			f.members[i].Expire(now)
 			f.gates[i].SetFleet(f.members[i].Fleet(now))
-			if f.gates[i].ListDue() {
+			if f.gates[i].ListReadDue() {
 				f.read(i)
 			}
 			if f.knows[i] != f.list {
--- a/gate/news.go
+++ b/gate/news.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// TableComing records that the store has begun to send a large version, newer than
+// BeginTableTransfer records that the store has begun to send a large version, newer than
 // the one in force if news is true.
-func (g *Gate) TableComing(news bool) {
+func (g *Gate) BeginTableTransfer(news bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.transferring = true
@@ -62,8 +62,8 @@
 	}
 }
 
-// TableStopped records that the store sends no version any more.
-func (g *Gate) TableStopped() {
+// EndTableTransfer records that the store sends no version any more.
+func (g *Gate) EndTableTransfer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.transferring = false
