--- a/engines/offer/offer.go
+++ b/engines/offer/offer.go
@@ -73,7 +73,7 @@
 		return attempt.NotSent{Err: verdict.New(verdict.NotRun, verdict.Unreachable, "daemon %s: %w", to.ID, err)}, wire.Result{}
 	}
 	run.Attempt = max(1, rand.Uint64())
-	a := &offered{client: c, w: w, id: run.Attempt, to: to, boot: conn.PeerBoot(), in: c.inboxes.open(run.Attempt), responseEnd: framing.Complete}
+	a := &offered{client: c, w: w, id: run.Attempt, to: to, boot: conn.PeerBootID(), in: c.inboxes.open(run.Attempt), responseEnd: framing.Complete}
 	defer c.inboxes.close(run.Attempt)
 	a.start(conn, wire.MethodRun, run)
 	return a.wait(ctx)
@@ -196,7 +196,7 @@
 			continue
 		}
 		metrics.GetOrCreateCounter("weldfall_resumes_total").Inc()
-		a.start(conn, wire.MethodResume, wire.Resume{Attempt: a.id, From: a.in.nextSeq(), Boot: a.boot})
+		a.start(conn, wire.MethodResume, wire.Resume{Attempt: a.id, From: a.in.nextSeq(), BootID: a.boot})
 		return nil
 	}
 	a.client.observer.DaemonUnreachable(a.to.ID)
@@ -251,7 +251,7 @@
 		return false
 	}
 	var got wire.Canceled
-	if err := conn.Call(ctx, wire.MethodCancel, wire.Cancel{Attempt: a.id, Boot: a.boot}, &got); err != nil {
+	if err := conn.Call(ctx, wire.MethodCancel, wire.Cancel{Attempt: a.id, BootID: a.boot}, &got); err != nil {
 		return false
 	}
 	return got.Verdict == verdict.NotRun
