--- a/engines/book.go
+++ b/engines/book.go
@@ -64,7 +64,7 @@
 	Changed      Change = "changed"
 	// Missing means that the listing lacks the engine, which may come back.
 	Missing Change = "missing"
-	// Returned means that a missing or invalid engine has a valid entry again.
+	// Returned means that a missing or unreadable engine has a valid entry again.
 	Returned Change = "back"
 	Removed  Change = "gone"
 	// WarmupStarted means that the engine handles only few requests for a while.
@@ -75,8 +75,8 @@
 	Forgotten Change = "forgotten"
 	// Stale means that the update was ignored: it is for an incarnation that has ended.
 	Stale Change = "late"
-	// Invalid means that the engine's entry cannot be used.
-	Invalid Change = "unreadable"
+	// Unreadable means that the engine's entry cannot be used.
+	Unreadable Change = "unreadable"
 )
 
 // Put records the listing entry of an engine. Draining lasts for the rest of an
@@ -115,8 +115,8 @@
 	warmupStarted := now >= e.warmup.listedUntil && warmupUntil > now
 	e.warmup.listedUntil = warmupUntil
 	in.Draining = in.Draining || e.info.Draining
-	returned := e.missing || e.invalid
-	e.missing, e.invalid = false, false
+	returned := e.missing || e.unreadable
+	e.missing, e.unreadable = false, false
 	if e.info == in && returned {
 		return Returned
 	}
@@ -182,15 +182,15 @@
 	r.unindexAddr(e)
 }
 
-// MarkInvalid records that the entry of an engine cannot be used. The engine gets no
-// new requests, and its state is kept until it has a valid entry or none. MarkInvalid
+// MarkUnreadable records that the entry of an engine cannot be used. The engine gets no
+// new requests, and its state is kept until it has a valid entry or none. MarkUnreadable
 // reports whether the engine was valid before.
-func (r *Registry) MarkInvalid(id string) bool {
+func (r *Registry) MarkUnreadable(id string) bool {
 	e, ok := r.byID[id]
-	if !ok || e.invalid {
+	if !ok || e.unreadable {
 		return false
 	}
-	e.invalid = true
+	e.unreadable = true
 	return true
 }
 
--- a/engines/choose.go
+++ b/engines/choose.go
@@ -184,7 +184,7 @@
 
 // AcceptsRequests reports whether an engine may get new requests by its listing entry:
 // the entry is valid and not draining, and no other engine owns the address.
-func (e *Engine) AcceptsRequests() bool { return !e.info.Draining && !e.invalid && !e.displaced() }
+func (e *Engine) AcceptsRequests() bool { return !e.info.Draining && !e.unreadable && !e.displaced() }
 
 // suspect reports whether new requests should avoid the engine. rate is the failure rate
 // of the service.
--- a/engines/engine.go
+++ b/engines/engine.go
@@ -78,9 +78,9 @@
 	health      health
 	// missing is true while the listing lacks the engine and it may come back.
 	missing bool
-	// invalid is true while the engine's listing entry cannot be used. Its state is kept
+	// unreadable is true while the engine's listing entry cannot be used. Its state is kept
 	// until it has a valid entry again.
-	invalid bool
+	unreadable bool
 	// conflicts holds the other engines listed with the same address.
 	conflicts []*Engine
 	// confirmedAt is when a response last came from this engine, replacedAt when another
--- a/engines/restart_test.go
+++ b/engines/restart_test.go
@@ -71,8 +71,8 @@
 				e.RecordActivity(now)
 			}
 		},
-		"missing": func(r *engines.Registry, _ *engines.Engine) { r.MarkMissing(home.ID) },
-		"invalid": func(r *engines.Registry, _ *engines.Engine) { r.MarkInvalid(home.ID) },
+		"missing":    func(r *engines.Registry, _ *engines.Engine) { r.MarkMissing(home.ID) },
+		"unreadable": func(r *engines.Registry, _ *engines.Engine) { r.MarkUnreadable(home.ID) },
 	} {
 		for _, startedAt := range []int64{2000, 500} {
 			r := newStartedRegistry(4, now)
@@ -342,7 +342,7 @@
 }
 
 // Under random entries and responses, Choose returns an engine as long as one accepts
-// requests, never one with an invalid entry, and only in its latest incarnation.
+// requests, never one with an unreadable entry, and only in its latest incarnation.
 func TestRegistryStaysConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := engines.NewRegistry()
@@ -359,7 +359,7 @@
 			case 2:
 				r.Remove(in.ID)
 			case 3:
-				r.MarkInvalid(in.ID)
+				r.MarkUnreadable(in.ID)
 			case 4:
 				if e != nil {
 					e.RecordActivity(now)
--- a/engines/source.go
+++ b/engines/source.go
@@ -86,7 +86,7 @@
 
 // canServeFetch reports whether an engine is likely to respond to a fetch.
 func (r *Registry) canServeFetch(e *Engine, maxSilence, now clock.Millis) bool {
-	if e.invalid || e.displaced() || e.health.avoided(now) || e.silence(now) > maxSilence {
+	if e.unreadable || e.displaced() || e.health.avoided(now) || e.silence(now) > maxSilence {
 		return false
 	}
 	if since, ok := r.evacuated[e.info.Hall]; ok && e.listedAt > since {
--- a/gate/list.go
+++ b/gate/list.go
@@ -82,9 +82,9 @@
 // MarkEngineUnreadable records that the entry of an engine names no engine to use.
 func (g *Gate) MarkEngineUnreadable(id, cause string) {
 	g.mu.Lock()
-	news := g.book.MarkInvalid(id)
+	news := g.book.MarkUnreadable(id)
 	g.mu.Unlock()
 	if news {
-		g.log.Warn("engine", "change", string(engines.Invalid), "engine", id, "cause", cause)
+		g.log.Warn("engine", "change", string(engines.Unreadable), "engine", id, "cause", cause)
 	}
 }
