--- a/engines/upstream/upstream.go
+++ b/engines/upstream/upstream.go
@@ -194,7 +194,7 @@
 	return nil, fmt.Errorf("%s: %w: response has another request ID", c.addr, ErrBadResponse)
 }
 
-// readHead reads the head of the next final answer.
+// readHead reads the head of the next final response, skipping informational ones.
 func readHead(c *conn, r *Request) (*http.Response, error) {
 	for {
 		res, err := http.ReadResponse(c.br, &http.Request{Method: r.Method})
