--- a/engines/upstream/pool.go
+++ b/engines/upstream/pool.go
@@ -324,7 +324,7 @@
 
 // ClosedByPeer reports whether an error means that the peer closed or reset the connection,
 // rather than sent nothing or invalid data.
-func BrokenOff(err error) bool {
+func ClosedByPeer(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return true
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -88,7 +88,7 @@
 		return
 	}
 	silent := errors.Is(err, upstream.ErrSilent)
-	if ctx.Err() != nil || !(silent || upstream.BrokenOff(err)) {
+	if ctx.Err() != nil || !(silent || upstream.ClosedByPeer(err)) {
 		return
 	}
 	g.guard.RecordBrokenAttempt(c.suspect(), life.Hash(), e.ID, silent)
@@ -107,7 +107,7 @@
 // engineEnded reports whether an engine ended that broke off an exchange: a connection
 // that breaks alone says nothing of the request.
 func (g *Gate) engineEnded(ctx context.Context, e engines.Info, err error) bool {
-	if !upstream.BrokenOff(err) || ctx.Err() != nil {
+	if !upstream.ClosedByPeer(err) || ctx.Err() != nil {
 		return false
 	}
 	ended, _, _ := g.endChecks.Do(e.Addr, func() (any, error) {
