--- a/gate/account.go
+++ b/gate/account.go
@@ -22,9 +22,8 @@
 	pause     *metrics.Histogram
 	repeats   *metrics.Counter
 	bytesOut  *metrics.Counter
-	// stopping counts the requests that came while the process was stopping, by
-	// whether they were taken, cutAtStop those that the end of the grace broke
-	// off.
+	// stopping counts the requests that arrived while the process was stopping, by whether
+	// they were admitted. cutAtStop counts those that were aborted at the end of the grace.
 	stopping  map[bool]*metrics.Counter
 	cutAtStop *metrics.Counter
 	table     tableCounts
@@ -51,10 +50,9 @@
 	return c
 }
 
-// tenths rounds for the log.
+// tenths rounds v to one decimal place.
 func tenths(v float64) float64 { return math.Round(v*10) / 10 }
 
-// microsPerMilli is how many microseconds a millisecond has.
 const microsPerMilli = 1000
 
 func inSeconds(d clock.Millis) float64 { return float64(d) / millisPerSecond }
@@ -107,7 +105,7 @@
 	g.log.Warn("failed", attrs...)
 }
 
-// logAttempt logs why a request goes to another engine, or why not.
+// logAttempt logs the end of an attempt and whether another one follows.
 func (g *Gate) logAttempt(c *call, o attempt.Outcome, e engines.Info, granted grant, left clock.Millis) {
 	if granted.allowed() {
 		g.counts.repeats.Inc()
--- a/gate/amnesia.go
+++ b/gate/amnesia.go
@@ -2,14 +2,14 @@
 
 import "github.com/weldfall/weldfall/common/clock"
 
-// historyUnknownFor is how long a process takes it that no entry knows which requests ended
-// engines, unless it hears of one that does: a caller of such a request comes again within
+// historyUnknownFor is how long a process assumes that no entry knows which requests
+// crashed engines, unless one reports that it does. Callers of such requests retry within
 // seconds.
 const historyUnknownFor clock.Millis = 60_000
 
-// beginUnknownHistory is called with the first list of engines. One that has engines shows that
-// the fleet is older than this process: if all entries started lately, as after a loss of
-// power, what they knew of requests is lost.
+// beginUnknownHistory is called with the first list of engines. If the list has engines,
+// the fleet is older than this process: if all entries were restarted lately, as after a
+// loss of power, their history of crashes is lost.
 func (g *Gate) beginUnknownHistory() {
 	now := g.clk.Now()
 	g.mu.Lock()
@@ -25,14 +25,14 @@
 	g.log.Info("strikes_unknown", "for_ms", historyUnknownFor)
 }
 
-// knowsHistory reports whether this entry knows which requests ended engines. The caller holds
-// mu.
+// knowsHistory reports whether this entry knows which requests crashed engines. The caller
+// holds mu.
 func (g *Gate) knowsHistory(now clock.Millis) bool {
 	return g.table.Load() != nil && g.listFreshness.Known() && now >= g.historyUnknownUntil
 }
 
-// receiveHistory takes word of a peer of that id that knows which requests ended engines: it
-// tells them.
+// receiveHistory handles the report of the peer with ID from that it knows which requests
+// crashed engines. Its suspects are received with it.
 func (g *Gate) receiveHistory(from string) {
 	now := g.clk.Now()
 	g.mu.Lock()
--- a/gate/call.go
+++ b/gate/call.go
@@ -15,72 +15,76 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// call is one request of a caller on its way.
+// call is a caller's request while it is served.
 type call struct {
 	w  http.ResponseWriter
 	rc *http.ResponseController
 	r  *http.Request
 	id string
-	// cancel ends the exchange with the engine, with the cause.
+	// cancel ends the exchange with the engine and records the cause.
 	cancel context.CancelCauseFunc
-	// start is when the request's head had been read.
+	// start is when the header of the request had been read.
 	start clock.Millis
-	// expected is what is known of the answer before it begins.
+	// expected is what is known about the response before it begins.
 	expected duration.Request
-	// estimate is how long the answer estimate, nil until a stopping process asks. The
-	// mu of leave guards it.
+	// estimate is the estimated duration of the response, nil until a stopping process needs
+	// it. It is guarded by shutdown.mu.
 	estimate *duration.Estimate
-	// giveUpAt is when the request is given up: the earlier of the caller's
-	// deadline and the route's timeout.
+	// giveUpAt is when the request fails: the earlier of the caller's deadline and the
+	// route's timeout.
 	giveUpAt clock.Millis
-	// callerTimeout is how long the caller waits; zero if it does not say.
+	// callerTimeout is how long the caller waits, zero if it does not say.
 	callerTimeout clock.Millis
 	table         *table.Table
 	route         *table.Route
 	service       string
 	workspace     *table.Workspace
 	body          []byte
-	// guardRequest is the call as the guard knows it, nil until it is about to be sent, and
-	// alone is true if the latest attempt was sent alone.
+	// guardRequest is the call as the guard knows it, nil until it is first sent. alone is
+	// true if the latest attempt was isolated.
 	guardRequest *quarantine.Request
 	alone        bool
-	// bodyRequested is true once the body was asked for, inBody while it is being read.
+	// bodyRequested is true once reading the body has begun; readingBody is true while it is
+	// read.
 	bodyRequested bool
 	readingBody   atomic.Bool
 
-	// prefixKeys are the beginnings of the prompt that engines may remember.
+	// prefixKeys are the keys of the prefixes of the prompt that engines may have in their
+	// caches.
 	prefixKeys []uint64
-	// prefixTokens is the length of the longest of them.
+	// prefixTokens is the length of the longest prefix.
 	prefixTokens int
-
-	// suffixTokens is how many tokens the prompt ends in that no other request shares.
+	// suffixTokens is the length of the last part of the prompt, which other requests do not
+	// share.
 	suffixTokens int
-	// tried are the engines that were chosen, in order, and sentAt is when the latest was.
+	// tried lists the engines that were chosen, in order. sentAt is when the latest was
+	// chosen.
 	tried  []string
 	sentAt clock.Millis
-	// ran counts the engines that may have run the request.
+	// ran is the number of engines that may have run the request.
 	ran int
-	// refused counts the engines that said that they did not run it.
+	// refused is the number of engines that reported that they did not run the request.
 	refused int
-	// unsent counts the engines that could not be reached.
+	// unsent is the number of engines that could not be reached.
 	unsent int
-	// chosenBy says by what the latest engine was chosen, kept whether this entry had
-	// sent it the prompt before, fetched whether it was told who keeps more of
-	// it.
+	// chosenBy is how the latest engine was chosen. sentBefore is true if this entry had sent
+	// the prompt there before. hasSource is true if the engine was told which other engine
+	// has a longer prefix.
 	chosenBy   engines.How
 	sentBefore bool
 	hasSource  bool
-	// fetchCostsMore is true if it was not told since a move costs more than to read, and readTime
-	// is what reading was known to take, in milliseconds a token.
+	// fetchCostsMore is true if the engine was not told because a fetch costs more than the
+	// prefill. prefillMillis is the known prefill time in milliseconds a token.
 	fetchCostsMore bool
 	prefillMillis  float64
 	engineLoad     float64
 	meanLoad       float64
 
-	// reply is the answer to the caller.
+	// reply is the response to the caller.
 	reply *relay.Reply
-	// events is how many events of a stream came. runFrom is how many had come when the
-	// present run of events began, at runAt; zero before the first.
+	// events is the number of events of the stream so far. runStart is the number at the
+	// start of the current run of events, at runStartAt; both are zero before the first
+	// event.
 	events       int
 	runStart     int
 	runStartAt   clock.Millis
@@ -92,13 +96,13 @@
 // hasBody reports whether the request has a body.
 func (c *call) hasBody() bool { return c.r.Body != nil && c.r.Body != http.NoBody }
 
-// timeLeft returns the time until the request is given up.
+// timeLeft returns the time until the request fails.
 func (c *call) timeLeft(now clock.Millis) clock.Millis { return c.giveUpAt - now }
 
-// mayHaveRun reports whether any engine may have run the request.
+// mayHaveRun reports whether an engine may have run the request.
 func (c *call) mayHaveRun() bool { return c.ran > 0 }
 
-// verdict is what is known when the request fails now.
+// verdict returns whether the request, if it fails now, may have run.
 func (c *call) verdict() verdict.Verdict {
 	if c.mayHaveRun() {
 		return verdict.MayHaveRun
@@ -106,9 +110,9 @@
 	return verdict.NotRun
 }
 
-// missedGoal tells what of a whole answer was missedGoal by the route's goals: "first" for
-// the first bytes of a stream or all of a plain answer, "pause" for a pause
-// between events, or "" for an answer that was on time.
+// missedGoal returns which goal of the route a complete response missed: "first" for the
+// first bytes of a stream or the whole of a plain response, "pause" for a pause between
+// events, or "" if it was on time.
 func (c *call) missedGoal(now clock.Millis) string {
 	if c.route == nil || c.reply.BytesWritten() == 0 {
 		return ""
@@ -126,19 +130,20 @@
 	return ""
 }
 
-// limitWrite limits the time for which a caller that does not read is waited for.
+// limitWrite limits how long a caller that does not read can block the response.
 func (c *call) limitWrite(now clock.Millis) {
-	// A connection without deadlines is bounded by the request's context.
+	// A connection that does not support deadlines is bounded by the request's context.
 	_ = c.rc.SetWriteDeadline(clock.Deadline(max(0, c.timeLeft(now)) + writeSlack))
 }
 
-// writeSlack is what a caller may take beyond the deadline to read an answer
+// writeSlack is the time after the deadline in which a caller may still read a response
 // that is ready.
 const writeSlack clock.Millis = 2000
 
 const millisPerSecond = 1000
 
-// retryAfterValue formats d as Retry-After, which takes fractions here.
+// retryAfterValue formats d as the value of Retry-After in seconds. Fractions are allowed
+// here.
 func retryAfterValue(d clock.Millis) string {
 	return strconv.FormatFloat(float64(d)/millisPerSecond, 'f', -1, 64)
 }
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// sharedPart is how much of what a cold engine may get the entries share out;
-	// the rest is for entries that do not yet know of the same others.
+	// sharedPart is the part of the warm-up quota that the entries divide among themselves.
+	// The rest is a reserve for entries that do not yet know the same others.
 	sharedPart = 0.85
-	// discoveryTime is how long an entry takes at most to hear of all others: a
-	// dozen rounds of asking. Until then, and while it knows none, it takes it
-	// that there are usualEntries.
+	// discoveryTime is how long an entry takes at most to discover all others: a dozen rounds
+	// of gossip. Until then, and while it knows no others, it assumes that there are
+	// assumedEntries.
 	discoveryTime  clock.Millis = 6000
 	assumedEntries              = minRetryParts
 )
 
-// SetOthers implements peers.Host. An entry that loses sight of others cannot
-// tell whether they ended, so it goes on counting as many as it ever knew.
+// SetOthers implements peers.Host. An entry that loses contact with others cannot tell
+// whether they ended, so the largest number ever known still counts.
 func (g *Gate) SetOthers(self string, others []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -40,8 +40,8 @@
 	g.shares, g.warmupParts = peers.NewShares(self, others, least), map[string]int{}
 }
 
-// warmup returns what holds for warmup engines of a request's service. The caller
-// holds mu.
+// warmup returns the limits for engines of the request's service that are in warm-up. The
+// caller holds mu.
 func (g *Gate) warmup(c *call) engines.Cold {
 	s, ok := c.table.Service(c.service)
 	b := g.bounds()
@@ -51,8 +51,8 @@
 	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.warmupQuota(s, id) }}
 }
 
-// warmupQuota is this entry's part of what a cold engine may get. The caller holds
-// mu.
+// warmupQuota returns this entry's part of the quota of an engine in warm-up. The caller
+// holds mu.
 func (g *Gate) warmupQuota(s table.Service, id string) int {
 	part, ok := g.warmupParts[id]
 	if !ok {
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	// healthCheckTimeout is how long an engine with a free slot may take to say that it is healthy.
+	// healthCheckTimeout is how long an engine with a free slot may take to answer a health
+	// check.
 	healthCheckTimeout clock.Millis = 100
-	// healthCheckGoalPart is the part of its goal that an attempt is left without a sign at least
-	// before its engine is asked.
+	// healthCheckGoalPart is the minimum part of its goal that an attempt waits without
+	// output before the health of its engine is checked.
 	healthCheckGoalPart = 0.5
 )
 
-// watchForSilence finds out whether an engine is dark that leaves an attempt without a sign for
-// a part of its goal, and for longer than the latest answers of its route took. The function that it returns ends that, and must be called when the
-// head of the answer has come, or none will.
+// watchForSilence checks whether the engine is unresponsive if the attempt gets no output
+// for a part of its goal and for longer than the latest responses of its route took. The
+// caller must call the returned function, which ends this, once the header of the response
+// has arrived or none will arrive.
 func (g *Gate) watchForSilence(ctx context.Context, c *call, e engines.Info, sent clock.Millis) (answered func()) {
 	service, _ := c.table.Service(c.service)
 	if !strings.HasPrefix(service.HealthPath, "/") {
@@ -44,9 +46,9 @@
 	}
 }
 
-// isUnresponsive reports whether an engine gives no sign of life since a time: nothing that it was
-// sent is answered, and its machine takes connections. An entry that hears no others cannot
-// tell.
+// isUnresponsive reports whether an engine has given no sign of life since the given time:
+// nothing that it was sent gets a response, although its machine accepts connections. An
+// entry without contact to others cannot tell.
 func (g *Gate) isUnresponsive(ctx context.Context, e engines.Info, healthPath string, since clock.Millis) bool {
 	if g.contact() == quarantine.Isolated {
 		return false
@@ -63,17 +65,17 @@
 	return g.pool.Dark(ctx, e.Addr, req, since, healthCheckTimeout)
 }
 
-// skipUnresponsive keeps the request from engines that went dark under it: what it does there
-// shows nothing more.
+// skipUnresponsive keeps the request from engines that became unresponsive under it.
+// Running it there again would show nothing new.
 func (g *Gate) skipUnresponsive(c *call) {
-	lives := g.guard.UnresponsiveIncarnations(c.suspect())
-	if len(lives) == 0 {
+	hashes := g.guard.UnresponsiveIncarnations(c.suspect())
+	if len(hashes) == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, life := range lives {
-		if e := g.book.Marked(life); e != nil {
+	for _, hash := range hashes {
+		if e := g.book.Marked(hash); e != nil {
 			c.tried = append(c.tried, e.Info().ID)
 		}
 	}
--- a/gate/evacuate.go
+++ b/gate/evacuate.go
@@ -11,19 +11,17 @@
 )
 
 const (
-	// evacuationMargin is taken off the bound for evacuations: from its choice
-	// until it arrives a request takes at most the time in which a connection to
-	// the engine must come up, 500 ms, and the clocks of two machines may run
-	// apart as they may for keys.
+	// evacuationMargin is subtracted from the bound for evacuations. From the choice of its
+	// engine a request takes at most 500 ms to arrive, the time limit for a new connection,
+	// and the clocks of two machines may differ in speed, as for keys.
 	evacuationMargin = 500 + revocationMargin
-	// retryEvacuated is when a request may come back all of whose engines are in
-	// data halls under evacuation: that lasts for seconds, and callers wait no
-	// longer than a third of the time that they have left.
+	// retryEvacuated is the Retry-After of requests all of whose engines are in data halls
+	// under evacuation. An evacuation lasts for seconds, and callers wait no longer than a
+	// third of their remaining time.
 	retryEvacuated clock.Millis = 1000
 )
 
-// SetEvacuated puts in force which data halls are under evacuation; halls names
-// all of them, sorted.
+// SetEvacuated sets the data halls under evacuation. halls names all of them, sorted.
 func (g *Gate) SetEvacuated(halls []string) {
 	g.mu.Lock()
 	before := g.evacuated
@@ -34,8 +32,7 @@
 	g.logEvacuations("taken_back", before, halls)
 }
 
-// logEvacuations logs a change for each of the data halls that is not among the
-// others.
+// logEvacuations logs a change for each hall in halls that is not in others.
 func (g *Gate) logEvacuations(change string, halls, others []string) {
 	for _, h := range halls {
 		if slices.Contains(others, h) {
@@ -48,24 +45,23 @@
 	}
 }
 
-// knowsEvacuations reports whether no evacuation that this entry does not know
-// of can be in force by the operators' bound when a request arrives that is sent
-// now. The caller holds mu.
+// knowsEvacuations reports whether every evacuation that must be in force by the operators'
+// bound when a request sent now arrives is known. The caller holds mu.
 func (g *Gate) knowsEvacuations(now clock.Millis) bool {
 	bound := g.bounds().Evacuation
 	return bound == 0 || g.tableFreshness.Within(bound-evacuationMargin, now)
 }
 
-// noEngine is the refusal of a request for which there is no engine. The caller
-// holds mu.
+// noEngine returns the error for a request for which there is no engine. The caller holds
+// mu.
 func (g *Gate) noEngine(c *call) *verdict.Error {
 	if n, all := g.book.Evacuated(c.service); n > 0 && n == all {
 		return verdict.New(c.verdict(), verdict.NoEngine, "all %d engines of %s are in data halls under evacuation", n, c.service).WithRetryAfter(retryEvacuated)
 	}
-	return verdict.New(c.verdict(), verdict.NoEngine, "no engine of %s is left, %d tried", c.service, len(c.tried)).WithRetryAfter(retrySoon)
+	return verdict.New(c.verdict(), verdict.NoEngine, "no engine of %s is available, %d tried", c.service, len(c.tried)).WithRetryAfter(retrySoon)
 }
 
-// checksum returns a sum over names that differs where the names do, zero for none.
+// checksum returns a checksum of names, zero if there are none.
 func checksum(names []string) uint64 {
 	if len(names) == 0 {
 		return 0
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -9,50 +9,50 @@
 var _ peers.Host = (*Gate)(nil)
 
 const (
-	// revocationDuePart is the part of the bound for revoked keys after which the
-	// table must be confirmed: keys are then good for three fifths of the bound
-	// after the last source of news is gone, which is as long as requests with
-	// keys are expected to be served.
+	// revocationDuePart is the part of the bound for revoked keys after which the table must
+	// be confirmed. Keys then stay valid for three fifths of the bound after the last source
+	// of confirmations is lost, which is how long requests with keys are expected to be
+	// served.
 	revocationDuePart = 0.34
-	// evacuationDuePart is the same part of the bound for evacuations, so that one
-	// read serves both.
+	// evacuationDuePart is the same part of the bound for evacuations, so that one read
+	// serves both.
 	evacuationDuePart = revocationDuePart
-	// changeDuePart is the part of the bound for changes after which it must be
-	// confirmed, so that a change of which no watch told is found in time.
+	// changeDuePart is the part of the bound for changes after which the table must be
+	// confirmed, so that a change that no watch reported is found in time.
 	changeDuePart = 0.8
-	// randomDuePart is the part of that time after which one of the entries by chance
-	// confirms the table for all, and dueFirst the part after which the first of
-	// them does; the rest is for word to reach the others.
+	// randomDuePart is the part of the due time after which a random entry confirms the table
+	// for all, and firstDuePart the part after which the first entry does. The rest is for
+	// the report to reach the others.
 	randomDuePart = 0.85
 	firstDuePart  = 0.35
-	// firstOfManyDuePart is that of the first of more entries than manyEntries, to which its
-	// word takes several steps: with a confirmation each 0.65 s the word of one of 103 is
-	// older than 1.46 s a tenth of the time, and an older one costs a call of its own.
-	// With this, and neighbours a fifth of the way to the first, 103 entries confirm
-	// 800 times in 58 s where it was 1,350.
+	// firstOfManyDuePart replaces firstDuePart if there are more than manyEntries, because
+	// the report then takes several hops. If the table is confirmed every 0.65 s, the report
+	// at one of 103 entries is older than 1.46 s a tenth of the time, and an older one costs
+	// a call of its own. With this part, and neighbours a fifth of the way to the first
+	// entry, 103 entries confirm 800 times in 58 s instead of 1,350.
 	firstOfManyDuePart = 0.18
 	manyEntries        = 32
-	// watchDuePart is the part of the bound for changes for which a watch may take to
-	// bring the version of which a peer told: a large one is on its way for half
-	// a second, and asking for it as well would bring it twice.
+	// watchDuePart is the part of the bound for changes in which a watch may deliver a
+	// version that a peer reported. A large version takes half a second to transfer, and a
+	// read would transfer it twice.
 	watchDuePart = 0.3
-	// laggingDuePart is the part of it that is left where a confirmation comes with
-	// a lag of its own.
+	// laggingDuePart is the part of the due time that remains if a confirmation is already
+	// old when it arrives.
 	laggingDuePart = 0.9
-	// peerNewerFor is how long word of an entry with a newer table is good for: a few
-	// rounds of asking.
+	// peerNewerFor is how long the report of a newer table counts: a few rounds of gossip.
 	peerNewerFor clock.Millis = 2000
-	// recentAnswerAge is how old word of another entry's answer of the store may be for the
-	// store to be there: with one confirmation each 0.65 s nearly all know a younger one.
+	// recentAnswerAge is the maximum age of a reported response of the store for the store to
+	// count as available. If the table is confirmed every 0.65 s, nearly all entries know of
+	// a more recent response.
 	recentAnswerAge clock.Millis = 2500
-	// maxLoadAge is how old a load may be to be worth telling.
+	// maxLoadAge is the maximum age of loads that are reported to peers.
 	maxLoadAge clock.Millis = 2000
 )
 
-// TableConfirmationDue reports whether the table in force should be confirmed: it has not
-// been for a while, or a peer has a newer one. The first of the entries does so
-// early and the others hear of it; where it cannot, one of them does by chance
-// before all must. lag is how old a confirmation will be when it comes.
+// TableConfirmationDue reports whether the table in force should be confirmed, because it
+// has not been for some time or because a peer has a newer one. The first entry confirms
+// early and its report reaches the others. If it cannot, a random entry does so before all
+// must. lag is how old a confirmation will be when it arrives.
 func (g *Gate) TableConfirmationDue(lag clock.Millis) bool {
 	t := g.table.Load()
 	if t == nil {
@@ -76,8 +76,9 @@
 	return g.confirmationDue(older)
 }
 
-// StoreContention tells whether many entries are known that ask the store, too, and whether one
-// of them had an answer lately. Nobody's word helps an entry that cannot serve yet.
+// StoreContention returns whether many other entries ask the store, too, and whether one of
+// them had a response lately. Both are false for an entry that cannot serve yet, since
+// reports of others do not help it.
 func (g *Gate) StoreContention() (many, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,76 +96,78 @@
 // LocalStatus implements peers.Host.
 func (g *Gate) LocalStatus(loads, suspects int) peers.Status {
 	now := g.clk.Now()
-	k := peers.Status{}
-	k.SuspectSum, k.Suspects = g.guard.Summarize(suspects)
+	s := peers.Status{}
+	s.SuspectSum, s.Suspects = g.guard.Summarize(suspects)
 	t := g.table.Load()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if k.Epoch = g.epoch.Number(); k.Epoch > 0 {
-		k.EpochAge = g.epoch.Age(now)
+	if s.Epoch = g.epoch.Number(); s.Epoch > 0 {
+		s.EpochAge = g.epoch.Age(now)
 	}
-	k.Revision = g.storeRevision()
+	s.Revision = g.storeRevision()
 	if t != nil && g.tableFreshness.Known() {
-		k.Table, k.TableAge, k.EvacuatedSum = t.Version(), g.tableFreshness.Age(now), checksum(g.evacuated)
+		s.Table, s.TableAge, s.EvacuatedSum = t.Version(), g.tableFreshness.Age(now), checksum(g.evacuated)
 	}
-	k.SuspectsComplete = g.knowsHistory(now)
-	k.ListSum, k.ListAge = g.reportList(now)
+	s.SuspectsComplete = g.knowsHistory(now)
+	s.ListSum, s.ListAge = g.reportList(now)
 	for _, l := range g.book.Loads(maxLoadAge, loads, now) {
-		k.Loads = append(k.Loads, peers.Load{Incarnation: l.Mark(), Requests: l.Requests, Age: l.Age})
+		s.Loads = append(s.Loads, peers.Load{Incarnation: l.Mark(), Requests: l.Requests, Age: l.Age})
 	}
-	return k
+	return s
 }
 
-// ReceiveStatus implements peers.Host. What a peer knew of the same version and the same
-// evacuations at some time is true of ours; of another version it says only that
-// ours is old, and of other evacuations only that one of us has yet to learn.
-func (g *Gate) ReceiveStatus(from string, k peers.Status, at clock.Millis) {
-	if k.SuspectsComplete {
+// ReceiveStatus implements peers.Host. If the peer has the same version and the same
+// evacuations, its confirmations hold for this entry, too. A report of another version
+// shows only that this entry's is old, and a report of other evacuations only that one of
+// the two entries is behind.
+func (g *Gate) ReceiveStatus(from string, s peers.Status, at clock.Millis) {
+	if s.SuspectsComplete {
 		g.receiveHistory(from)
 	}
-	g.receiveAges(k, at)
-	g.ReceiveLoads(k.Loads, at)
-	g.ReceiveSuspects(from, k.Suspects)
+	g.receiveAges(s, at)
+	g.ReceiveLoads(s.Loads, at)
+	g.ReceiveSuspects(from, s.Suspects)
 }
 
-func (g *Gate) receiveAges(k peers.Status, at clock.Millis) {
+// receiveAges records the epoch, the revision and the ages that a peer reported.
+func (g *Gate) receiveAges(s peers.Status, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	sameEpoch := k.EpochAge >= 0 && g.receiveEpoch(k.Epoch, at-k.EpochAge, at)
+	sameEpoch := s.EpochAge >= 0 && g.receiveEpoch(s.Epoch, at-s.EpochAge, at)
 	if sameEpoch {
-		g.receiveRevision(k.Epoch, k.Revision)
+		g.receiveRevision(s.Epoch, s.Revision)
 	}
-	if sameEpoch && k.ListAge >= 0 {
-		g.receiveList(k.ListSum, at-k.ListAge, g.clk.Now())
+	if sameEpoch && s.ListAge >= 0 {
+		g.receiveList(s.ListSum, at-s.ListAge, g.clk.Now())
 	}
 	t := g.table.Load()
-	if t == nil || k.TableAge < 0 {
+	if t == nil || s.TableAge < 0 {
 		return
 	}
-	same := k.EvacuatedSum == checksum(g.evacuated)
-	if k.Table > t.Version() {
+	same := s.EvacuatedSum == checksum(g.evacuated)
+	if s.Table > t.Version() {
 		g.peerAheadAt = at
 	}
-	if k.Table > 0 {
-		g.storeAnsweredAt = max(g.storeAnsweredAt, at-k.TableAge)
+	if s.Table > 0 {
+		g.storeAnsweredAt = max(g.storeAnsweredAt, at-s.TableAge)
 	}
 	switch {
-	case k.Table == t.Version() && same && sameEpoch:
-		g.receiveProof(at - k.TableAge)
-	case k.Table == t.Version():
-	case k.Table > max(g.newestVersion, t.Version()):
-		g.newestVersion, g.newestVersionAt = k.Table, at
-	}
-	newer := k.Table > t.Version() || (k.Table == t.Version() && !same && k.TableAge < g.tableFreshness.Age(at))
-	if newer && k.TableAge <= maxDenialAge {
+	case s.Table == t.Version() && same && sameEpoch:
+		g.receiveConfirmation(at - s.TableAge)
+	case s.Table == t.Version():
+	case s.Table > max(g.newestVersion, t.Version()):
+		g.newestVersion, g.newestVersionAt = s.Table, at
+	}
+	newer := s.Table > t.Version() || (s.Table == t.Version() && !same && s.TableAge < g.tableFreshness.Age(at))
+	if newer && s.TableAge <= maxDenialAge {
 		g.peerNewerAt = at
 	}
 }
 
-// retryElsewhere is when a request may come back that was refused for the age of
-// the table or the evacuations: at once if another entry lately knew newer ones,
-// since callers come back to another. Otherwise the store is likely away for
-// all. The caller holds mu.
+// retryElsewhere returns when a request that was rejected for the age of the table or the
+// evacuations may be retried: at once if another entry lately had newer ones, since a retry
+// reaches another entry. Otherwise the store is likely unavailable to all. The caller holds
+// mu.
 func (g *Gate) retryElsewhere(now clock.Millis) clock.Millis {
 	if g.peerNewerAt > 0 && now-g.peerNewerAt <= peerNewerFor {
 		return retryAtOnce
@@ -172,8 +175,8 @@
 	return retryStale
 }
 
-// ReceiveLoads implements peers.Host. A load is of the life of an engine that told it:
-// a peer may not know yet that a later one began.
+// ReceiveLoads implements peers.Host. A load belongs to the incarnation that reported it,
+// since a peer may not know of a later one.
 func (g *Gate) ReceiveLoads(loads []peers.Load, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,8 +1,7 @@
-// Package gate is the entry of a deployment whose engines are reached
-// directly, by plain HTTP, without daemons between. It takes callers'
-// requests, finds the engine of each, and relays the whole answer. filters.go
-// lists the way of a request; what the operators publish and which engines
-// there are is handed in by an adapter.
+// Package gate is the entry of a deployment whose engines are reached directly over plain
+// HTTP, without daemons. It accepts requests from callers, chooses an engine for each and
+// relays the response. filters.go lists the steps of a request. An adapter supplies the
+// published configuration and the list of engines.
 package gate
 
 import (
@@ -29,73 +28,75 @@
 	"github.com/weldfall/weldfall/table"
 )
 
-// Dialect gives the names on the wire between callers, this process and the
+// Dialect holds the names of the HTTP headers used between callers, this process and
 // engines.
 type Dialect struct {
-	// RequestID is unique to each attempt of a caller.
+	// RequestID carries an ID that is unique to each attempt of a caller.
 	RequestID string
-	// Deadline is how many milliseconds the caller waits.
+	// Deadline carries the time that the caller waits, in milliseconds.
 	Deadline string
-	// Prompt lists the parts of a prompt.
+	// Prompt lists the parts of the prompt.
 	Prompt string
-	// Tokens tells the tokens of the prompt and the most of the answer.
+	// Tokens carries the number of prompt tokens and the maximum number of response tokens.
 	Tokens string
-	// Tenant tells engines the workspace.
+	// Tenant carries the workspace to the engine.
 	Tenant string
-	// Priority tells engines the rank of a request, 0 first.
+	// Priority carries the priority of the request to the engine; 0 is served first.
 	Priority string
-	// FetchFrom names an engine that keeps more of the prompt.
+	// FetchFrom carries the address of an engine that has a longer prefix of the prompt in
+	// its cache.
 	FetchFrom string
-	// ExpectEngine makes every engine but the named one refuse.
+	// ExpectEngine carries the ID of the engine that the request is meant for. Any other
+	// engine rejects it.
 	ExpectEngine string
-	// NotRun marks an answer of an engine that did not run the request.
+	// NotRun marks a response of an engine that did not run the request.
 	NotRun string
-	// Load is an engine's load: running, waiting and slots.
+	// Load carries the load of an engine: running, waiting and slots.
 	Load string
-	// LastEventID takes a stream up after the named event.
+	// LastEventID makes an engine continue a stream after the named event.
 	LastEventID string
-	// Reserved headers are the system's to set: callers' are dropped.
+	// Reserved lists the headers that only the system sets. They are removed from callers'
+	// requests.
 	Reserved []string
-	// Internal headers of engines are not for callers.
+	// Internal lists the headers of engines that are not passed on to callers.
 	Internal []string
 }
 
-// Bounds are the promises that the operators ask for.
+// Bounds are the limits set by the operators.
 type Bounds struct {
-	// Revocation is how long after its removal a key may still be accepted.
+	// Revocation is how long a key may still be accepted after its removal.
 	Revocation clock.Millis
-	// Evacuation is how long after it was asked for an evacuation may not yet be
-	// in force; zero if the operators give no bound.
+	// Evacuation is how long an evacuation may take to come into force; zero means no bound.
 	Evacuation clock.Millis
-	// Draining is how long after its word a leaving engine may still be sent something
-	// new; zero if the operators give no bound.
+	// Draining is how long new requests may still be sent to an engine after it reported that
+	// it is draining; zero means no bound.
 	Draining clock.Millis
-	// Change is how long after its publication a change may not yet be in force.
+	// Change is how long a published change may take to come into force.
 	Change clock.Millis
-	// Grace is how long a stopping process may go on.
+	// Grace is how long a stopping process may keep running.
 	Grace clock.Millis
-	// BalancerLag is how long new connections may come after the process has
-	// turned unready.
+	// BalancerLag is how long the load balancer may still open connections after the process
+	// has become unready.
 	BalancerLag clock.Millis
-	// RetryRatio, RetryExtra and RetryWindow bound repeats of the whole fleet.
+	// RetryRatio, RetryExtra and RetryWindow limit the retries of the whole fleet.
 	RetryRatio  float64
 	RetryExtra  float64
 	RetryWindow clock.Millis
-	// WarmupOverrun and WarmupExtra bound what all entries together send to a cold
-	// engine in a second: the rate that it bears times the one, and the other.
-	// There is no bound if both are zero.
+	// WarmupOverrun and WarmupExtra limit the requests per second that all entries together
+	// send to an engine during its warm-up: its warm-up rate times WarmupOverrun, plus
+	// WarmupExtra. There is no limit if both are zero.
 	WarmupOverrun float64
 	WarmupExtra   float64
-	// LoadBound is the highest load of an engine as a multiple of the mean.
+	// LoadBound is the maximum load of an engine as a multiple of the mean.
 	LoadBound float64
 }
 
-// Config sets up a Gate.
+// Config configures a Gate.
 type Config struct {
 	ID      string
 	Dialect Dialect
 	Bounds  Bounds
-	// Link is that of the process, nil if nothing is known of it.
+	// Link is the downlink of the process, nil if its capacity is unknown.
 	Link  *downlink.Downlink
 	Clock *clock.Clock
 	Log   *slog.Logger
@@ -107,9 +108,9 @@
 	clk  *clock.Clock
 	log  *slog.Logger
 	wire Dialect
-	// style is how failures are told.
+	// style formats failures for callers.
 	style failure.Style
-	// reserved and internal are sets of canonical header names.
+	// reserved and internal are keyed by canonical header name.
 	reserved  map[string]bool
 	internal  map[string]bool
 	pool      *upstream.Pool
@@ -119,74 +120,77 @@
 	active    atomic.Int64
 	counts    counts
 	durations *duration.Estimator
-	// prefillSpeeds has how fast the engines of each service read prompts. It is guarded by mu.
+	// prefillSpeeds holds the prefill speed of the engines of each service. It is guarded by
+	// mu.
 	prefillSpeeds map[string]*prefill.Speed
-	// guard knows the requests under which engines ended, and inquiries asks each address
-	// once at a time whether its engine did.
+	// guard tracks requests under which engines crashed. endChecks limits the checks whether
+	// an engine has ended to one at a time for each address.
 	guard     *quarantine.Guard
 	endChecks singleflight.Group
-	// startedAt is when the process came up.
+	// startedAt is when the process started.
 	startedAt clock.Millis
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	book    *engines.Book
 	budgets map[string]*serviceBudget
-	// evacuated names the data halls under evacuation, sorted.
+	// evacuated lists the data halls under evacuation, sorted.
 	evacuated []string
-	// tableFreshness is the age of the table and the evacuations, which are read
-	// together, listed that of the list of engines.
+	// tableFreshness is when the table and the evacuations, which are read together, were
+	// last known to be current; listFreshness is the same for the list of engines.
 	tableFreshness fresh.Belief
 	listFreshness  fresh.Belief
 	list           listState
-	// changes is what came to the list lately; it has its own lock.
+	// changes holds the recent changes of the list. It has its own lock.
 	changes changes.Log
-	// epoch is that of the store; epochMissed is true from when another entry told of a
-	// later one until the store is asked.
+	// epoch is the store's epoch. epochMissed is true from when another entry reports a later
+	// epoch until the store is asked for it.
 	epoch       fresh.Epoch
 	epochMissed bool
 	progress    storeProgress
-	// historyUnknownUntil is until when no entry is known to remember which requests ended
+	// historyUnknownUntil is until when no entry is assumed to know which requests crashed
 	// engines.
 	historyUnknownUntil clock.Millis
-	// epochReportedAt is when another entry last told of a later epoch that was asked about.
+	// epochReportedAt is when another entry last reported a later epoch for which the store
+	// was asked.
 	epochReportedAt clock.Millis
-	// storeAnsweredAt is when another entry last had an answer of the store, by its word; zero
-	// if none had.
+	// storeAnsweredAt is when, by their reports, another entry last had a response from the
+	// store; zero if none had.
 	storeAnsweredAt clock.Millis
-	// peerAheadAt is when a peer last told of a newer version than ours, zero if none did.
+	// peerAheadAt is when a peer last reported a newer version than the one in force, zero if
+	// none did.
 	peerAheadAt clock.Millis
-	// tableEpoch is the epoch by an answer of which the table in force came.
+	// tableEpoch is the epoch of the store's response that brought the table in force.
 	tableEpoch int64
-	// fleet is what is known of the other entries. The first of them confirms
-	// the table for all.
+	// fleet is the state of the other entries. The first entry confirms the table for all.
 	fleet peers.Fleet
-	// shares are this entry's among the others, parts those of cold engines by
-	// their ids while the shares last. mostEntries is the most that were ever
-	// known.
+	// shares computes this entry's part of fleet-wide quotas among others. warmupParts caches
+	// its part for each engine in warm-up, by engine ID, until shares changes. maxEntries is
+	// the largest number of entries ever known.
 	shares      peers.Shares
 	others      []string
 	warmupParts map[string]int
 	maxEntries  int
-	// minEntries is how many entries the shares are made for at least.
+	// minEntries is the number of entries that shares assumes at least.
 	minEntries int
-	// newestVersion is the newestVersion version that a peer told of, at newestAt; zero if
-	// none did, or the platform has since shown that there is no newer one than
-	// ours.
+	// newestVersion is the newest version that a peer reported, at newestVersionAt. It is
+	// zero if no peer reported one, or if the store has since shown that the version in force
+	// is the newest.
 	newestVersion   int64
 	newestVersionAt clock.Millis
-	// transferring is true while the store sends a large version, announcedAt when it
-	// first began to send one that is newer than the one in force, 0 if it did not.
+	// transferring is true while the store sends a large version. announcedAt is when it
+	// first began to send one newer than the version in force, zero if it did not.
 	transferring bool
 	announcedAt  clock.Millis
-	// peerNewerAt is when a peer last told of a newer table than ours that it had
-	// proved, or of other evacuations that it had proved later; zero if none did.
+	// peerNewerAt is when a peer last reported a recently confirmed table that is newer than
+	// the one in force, or the same version with other evacuations confirmed later; zero if
+	// none did.
 	peerNewerAt clock.Millis
-	// wasReady is what the log was last told.
+	// wasReady is the readiness that was last logged.
 	wasReady bool
 }
 
-// New returns a gate that knows nothing yet.
+// New returns a gate without a table and without engines.
 func New(cfg Config) *Gate {
 	d := cfg.Dialect
 	g := &Gate{
@@ -206,7 +210,7 @@
 
 func (g *Gate) bounds() Bounds { return *g.limits.Load() }
 
-// SetBounds puts other bounds in force.
+// SetBounds replaces the bounds.
 func (g *Gate) SetBounds(b Bounds) {
 	if old := g.limits.Swap(&b); *old == b {
 		return
@@ -225,30 +229,30 @@
 	return set
 }
 
-// Limits of belief.
+// Maximum ages of the table.
 const (
-	// revocationMargin is taken off the bound for revoked keys: the clocks of
-	// two machines may run apart by a few parts in a hundred. The check reads
-	// the clock after the request has come in, so a pause of the process needs
-	// no margin.
+	// revocationMargin is subtracted from the bound for revoked keys, since the clocks of two
+	// machines may differ in speed by a few percent. A pause of the process needs no margin,
+	// because the check reads the clock after the request has arrived.
 	revocationMargin clock.Millis = 150
-	// maxDenialAge is the greatest age of the table at which a key or a path that
-	// it does not know is refused for good; an older table may lack it.
+	// maxDenialAge is the maximum age of the table at which an unknown key or path is
+	// rejected for good. An older table may lack a recent addition.
 	maxDenialAge clock.Millis = 2500
 )
 
-// maxKeyAge is the greatest age of the table at which keys are accepted.
+// maxKeyAge returns the maximum age of the table at which keys are accepted.
 func (g *Gate) maxKeyAge() clock.Millis { return g.bounds().Revocation - revocationMargin }
 
-// minConnParts is the least number of parts into which an engine's connections are divided.
-// Where more entries are known there are as many, since all together must keep below the
-// published number: a twelfth for each of 103 was eight times that.
+// minConnParts is the minimum number of parts into which the connections to an engine are
+// divided. If more entries are known, there is one part for each, so that all together stay
+// below the published number. With a fixed twelfth for each, 103 entries opened eight
+// times that number.
 const minConnParts = 12
 
-// minConns is the share of connections that an entry may always take.
+// minConns is the number of connections that an entry may always open.
 const minConns = 8
 
-// limitConns bounds the connections to an engine. The caller holds mu.
+// limitConns limits the connections to an engine. The caller holds mu.
 func (g *Gate) limitConns(t *table.Table, in engines.Info) {
 	if t == nil {
 		return
@@ -258,21 +262,21 @@
 	}
 }
 
-// limitAllConns bounds those to all engines. The caller holds mu.
+// limitAllConns limits the connections to every engine. The caller holds mu.
 func (g *Gate) limitAllConns(t *table.Table) {
 	for _, id := range g.book.IDs() {
 		g.limitConns(t, g.book.Get(id).Info())
 	}
 }
 
-// EngineIDs returns the ids of all engines, sorted.
+// EngineIDs returns the IDs of all engines, sorted.
 func (g *Gate) EngineIDs() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.IDs()
 }
 
-// Ready reports whether the gate is fit to serve.
+// Ready reports whether the gate can serve requests.
 func (g *Gate) Ready() bool {
 	t := g.table.Load()
 	now := g.clk.Now()
@@ -290,5 +294,5 @@
 	return ready
 }
 
-// random returns a number from 0 to 1 that breaks ties.
+// random returns a number in [0, 1) that breaks ties.
 func random() float64 { return rand.Float64() }
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -14,44 +14,44 @@
 
 // Stopping.
 const (
-	// graceMargin is left of the grace for the end of the process itself: for
-	// word to the callers whose answers have not begun, and for the last lines
-	// of the log.
+	// graceMargin is the part of the grace that is reserved for the end of the process: for
+	// errors to callers whose responses have not begun, and for the last log lines.
 	graceMargin clock.Millis = 250
-	// finalAnswersTime is how long that word may take.
+	// finalAnswersTime is how long sending those errors may take.
 	finalAnswersTime clock.Millis = 100
 )
 
-// errGraceOver is why the request of a process ends that has to end itself.
-var errGraceOver = errors.New("this entry's grace is over")
+// errGraceOver is the cancellation cause of requests that are still in flight when the
+// process must end.
+var errGraceOver = errors.New("this entry is stopping and its grace period is over")
 
-// shutdown is how far a process is with stopping. It is safe for concurrent use.
+// shutdown is the state of a stopping process. It is safe for concurrent use.
 type shutdown struct {
-	// startedAt is when it was told to stop, endsBy when it ends at the latest; both
-	// are 0 before.
+	// startedAt is when the process was asked to stop, endsBy when it ends at the latest.
+	// Both are 0 before.
 	startedAt, endsBy atomic.Int64
-	// idleClosed is true once the balancer had the time to notice and idle
-	// connections are closed.
+	// idleClosed is true once the load balancer had time to notice and idle connections are
+	// closed.
 	idleClosed atomic.Bool
-	// admittedAt is when a request was last taken.
+	// admittedAt is when a request was last admitted.
 	admittedAt atomic.Int64
-	// aborting is true once the process cuts off what is still running.
+	// aborting is true once the process aborts what is still in flight.
 	aborting atomic.Bool
 
-	// estimate says how long the answer to a call takes. It sorts some hundred
-	// measurements, so no call is asked about before the process stops.
+	// estimate returns the estimated duration of the response to a call. It sorts some
+	// hundred samples, so it is called only while the process is stopping.
 	estimate func(c *call) duration.Estimate
 
 	mu sync.Mutex
-	// inFlight holds the calls that were taken and are not done.
+	// inFlight holds the calls that were admitted and have not ended.
 	inFlight map[*call]struct{}
 }
 
 // started reports whether the process is stopping.
 func (l *shutdown) started() bool { return l.endsBy.Load() != 0 }
 
-// admit records a call that was taken. It reports false once the process cuts
-// off what runs: a call that came to it then would not be among that.
+// admit records a call as in flight. It returns false once the process aborts what is in
+// flight, since the call would be missed.
 func (l *shutdown) admit(c *call) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,22 +63,22 @@
 	return true
 }
 
-// done records the end of a call.
+// done removes a call that has ended.
 func (l *shutdown) done(c *call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.inFlight, c)
 }
 
-// estimateFor returns how long the answer to a call estimateFor, as expected when a stopping
-// process first asked.
+// estimateFor returns the estimated duration of the response to a call, as estimated when
+// the stopping process first needed it.
 func (l *shutdown) estimateFor(c *call) duration.Estimate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.estimateLocked(c)
 }
 
-// estimateLocked is takes for those who hold mu.
+// estimateLocked is estimateFor for callers that hold mu.
 func (l *shutdown) estimateLocked(c *call) duration.Estimate {
 	if c.estimate == nil {
 		e := l.estimate(c)
@@ -87,14 +87,14 @@
 	return *c.estimate
 }
 
-// busyUntil returns when all that runs is done at the latest; zero if nothing
-// does.
+// busyUntil returns when all calls in flight have ended at the latest, zero if there are
+// none.
 func (l *shutdown) busyUntil() clock.Millis {
 	return l.lastEnd(func(e duration.Estimate) clock.Millis { return e.Max })
 }
 
-// lastEnd returns the lastEnd of the ends of all that runs, where an answer takes what
-// of its estimate says.
+// lastEnd returns the latest end of the calls in flight, where duration selects the
+// duration from an estimate.
 func (l *shutdown) lastEnd(duration func(duration.Estimate) clock.Millis) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 	return at
 }
 
-// abortAll ends the exchanges of all that runs.
+// abortAll cancels the exchanges of all calls in flight.
 func (l *shutdown) abortAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,8 +115,8 @@
 	}
 }
 
-// Stop implements peers.Host. The process ends when what runs has ended as it
-// usually does, but not before the balancer has noticed.
+// Stop implements peers.Host. The process ends when the calls in flight have ended, by
+// their typical duration, but not before the load balancer has noticed.
 func (g *Gate) Stop() peers.Stop {
 	since := clock.Millis(g.shutdown.startedAt.Load())
 	if since == 0 {
@@ -127,9 +127,9 @@
 	return peers.Stop{Since: since, End: min(end, clock.Millis(g.shutdown.endsBy.Load()))}
 }
 
-// drain turns unready at once and answers what comes in nevertheless, since
-// the balancer needs a while to notice. Then it closes idle connections, and
-// ends when all answers are out.
+// drain makes the process unready at once. It still serves new requests, since the load
+// balancer needs some time to notice. Then it closes idle connections and returns when all
+// responses are complete or the grace is over.
 func (g *Gate) drain(srv *callers.Server) {
 	start := g.clk.Now()
 	b := g.bounds()
@@ -148,7 +148,7 @@
 		clock.Sleep(context.Background(), finalAnswersTime/10)
 	}
 	g.counts.cutAtStop.Add(int(left))
-	// What is still open is closed with the process.
+	// Connections that are still open are closed with the process.
 	srv.Close()
 	g.log.Info("left", "cut_off", left, "took_ms", g.clk.Now()-start)
 }
--- a/gate/list.go
+++ b/gate/list.go
@@ -4,7 +4,7 @@
 	"github.com/weldfall/weldfall/engines"
 )
 
-// PutEngine records an engine as listed.
+// PutEngine records an engine of the list.
 func (g *Gate) PutEngine(in engines.Info) {
 	g.mu.Lock()
 	before := g.book.Get(in.ID)
@@ -19,7 +19,7 @@
 		g.log.Info("engine_cold", "engine", in.ID, "service", in.Service, "for_ms", in.ColdFor)
 		return
 	case engines.Restarted:
-		// Its earlier life has answered the last on these.
+		// Connections to the earlier incarnation are of no more use.
 		g.pool.Forget(before.Info().Addr)
 		g.recordEnd(before.Info())
 	}
@@ -43,8 +43,8 @@
 	g.log.Info("engine", "change", string(engines.Gone), "engine", id, "service", in.Service, "addr", in.Addr, "cause", cause)
 }
 
-// recordEnd records that a life of an engine is over by the list. One that had said that it
-// leaves ended as planned, whatever ran there.
+// recordEnd records that an incarnation of an engine has ended by the list. If it had
+// reported that it was draining, it ended as planned, whatever ran there.
 func (g *Gate) recordEnd(in engines.Info) {
 	mark := in.Incarnation().Mark()
 	g.guard.ConfirmCrash(mark)
@@ -53,38 +53,39 @@
 	}
 }
 
-// ForgetEngine records that what was said of an engine and of its lives was not so.
+// ForgetEngine discards an engine and its incarnations, because what peers reported of it
+// was wrong.
 func (g *Gate) ForgetEngine(id string) {
 	g.mu.Lock()
 	g.book.Forget(id)
 	delete(g.warmupParts, id)
 	g.mu.Unlock()
-	g.log.Info("engine", "change", string(engines.Forgotten), "engine", id, "cause", "others told what is not so")
+	g.log.Info("engine", "change", string(engines.Forgotten), "engine", id, "cause", "the store does not confirm what peers reported of the engine")
 }
 
-// WasListed reports whether a life of an engine was on the list and no longer is.
+// WasListed reports whether an incarnation of an engine was listed and no longer is.
 func (g *Gate) WasListed(n engines.Incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.WasListed(n)
 }
 
-// MarkEngineMissing records that the list lacks an engine that may come back.
+// MarkEngineMissing records that an engine is missing from the list and may come back.
 func (g *Gate) MarkEngineMissing(id string) {
 	g.mu.Lock()
-	news := g.book.Doubt(id)
+	changed := g.book.Doubt(id)
 	g.mu.Unlock()
-	if news {
-		g.log.Info("engine", "change", string(engines.Missing), "engine", id, "cause", "missing from the list after the store was away")
+	if changed {
+		g.log.Info("engine", "change", string(engines.Missing), "engine", id, "cause", "missing from the list after the store was unavailable")
 	}
 }
 
-// MarkEngineUnreadable records that the entry of an engine names no engine to use.
+// MarkEngineUnreadable records that the entry of an engine is invalid.
 func (g *Gate) MarkEngineUnreadable(id, cause string) {
 	g.mu.Lock()
-	news := g.book.Mask(id)
+	changed := g.book.Mask(id)
 	g.mu.Unlock()
-	if news {
+	if changed {
 		g.log.Warn("engine", "change", string(engines.Unreadable), "engine", id, "cause", cause)
 	}
 }
--- a/gate/listing.go
+++ b/gate/listing.go
@@ -8,68 +8,74 @@
 )
 
 const (
-	// drainingDuePart is the part of the bound for leaving engines after which the list of
-	// engines must be confirmed: the rest is for the call, which a slow store answers
-	// after 400 ms, and for what requests are on their way.
+	// drainingDuePart is the part of the bound for draining engines after which the list of
+	// engines must be confirmed. The rest is for the call, which takes 400 ms at a slow
+	// store, and for requests on their way to engines.
 	drainingDuePart = 0.6
-	// ownReadPeriod is how long an entry takes the word of others that the list is unchanged,
-	// before it looks for itself: all others may be wrong.
+	// ownReadPeriod is how long an entry relies on reports that the list is unchanged before
+	// it reads the list itself. All reports may be wrong.
 	ownReadPeriod clock.Millis = 60_000
-	// unverifiedMaxAge is how long an entry goes by what others told of engines before it asks the
-	// store whether that is so: a lie may have prompts sent to an engine that is none.
+	// unverifiedMaxAge is how long an entry uses engines that peers reported before it
+	// verifies them with the store. A false report may send prompts to an address that is no
+	// engine.
 	unverifiedMaxAge clock.Millis = 20_000
-	// changesTimeout is how long an entry that is behind leaves the store alone for what the one
-	// that told of a later list may tell of its changes: a question, an answer and the time
-	// to take it.
+	// changesTimeout is how long an entry that is behind waits, before it asks the store, for
+	// changes from the peer that reported a later list: a request, a response and the time to
+	// apply it.
 	changesTimeout clock.Millis = 300
-	// PropagationLag is how long word of an entry takes to the last of lagEntries.
+	// PropagationLag is how long a report takes to reach the last of propagationEntries.
 	PropagationLag clock.Millis = 2000
 	// propagationEntries is the number of entries for which PropagationLag holds.
 	propagationEntries = 100
-	// fewEntries is up to how many entries each ask the store, for the list and while it
-	// refuses: that costs few calls, and each hears of a change or a return at once.
+	// fewEntries is the number of entries up to which each asks the store itself, for the
+	// list and while the store is unavailable. This costs few calls, and each entry learns of
+	// a change or a return at once.
 	fewEntries = 8
-	// WatchLag is how much of the past a watch may not have heard of, also when it answers:
-	// the store is known to tell changes up to a second late while it drops history. Reads
-	// of an item have no such lag.
+	// WatchLag is how late a watch may report a change, also when it returns: the store can
+	// report changes up to a second late while it compacts its history. Reads of an item have
+	// no such lag.
 	WatchLag clock.Millis = 1000
 )
 
-// listState is what is known of the list of engines as a whole. Many entries do not each
-// ask whether it is as it was: the first does so early, the others hear of it, and where the
-// sums over what the list says differ, ask the one that told for what came to it, or else the
-// store. Engines write their entries again and again, so that a watch ends at once and an
-// entry that asks for itself asks as often as it may. Played with 103 entries for 54 s in which
-// an engine came or left each second, 1,265 such calls remained of 1,743 while others told only
-// that a list is unchanged; simulated without such changes, 5 a second do of 50.
+// listState is what is known of the list of engines as a whole. If there are many entries,
+// not each of them asks whether the list is unchanged: the first entry does so early and
+// the others receive its report. If the checksums of their lists differ, an entry asks the
+// peer that reported the other list for the changes, or else the store. Engines write their
+// entries again and again, so a watch returns at once, and an entry that asks the store
+// itself does so as often as allowed.
+//
+// In a test with 103 entries over 54 s, in which an engine joined or left each second,
+// 1,265 such calls remained of 1,743 while peers reported only that the list is unchanged.
+// In a simulation without such changes, 5 calls a second remained of 50.
 type listState struct {
-	// sum stands for what the list says, as this entry last read it at askedAt.
+	// sum is the checksum of the list that this entry last read, at readAt.
 	sum    uint32
 	readAt clock.Millis
-	// unverifiedSince is when others first told of changes that the store was not asked about yet,
-	// zero if none did.
+	// unverifiedSince is when peers first reported changes that have not been verified with
+	// the store, zero if there are none.
 	unverifiedSince clock.Millis
-	// watched is true while a watch waits that tells of changes at once.
+	// watched is true while a watch is open, which reports changes at once.
 	watched bool
-	// behind is true from when another told of a later list until that is known or the
-	// store is asked, and other is the sum that it told. Two entries may never agree,
-	// where one read a list that the other did not: the same sum is asked about once.
+	// behind is true from when a peer reports a later list until that list is known or the
+	// store was asked. peerSum is the checksum that the peer reported. A checksum is asked
+	// for only once, because two entries never agree if one of them read a list that the
+	// other did not.
 	behind  bool
 	peerSum uint32
-	// changesRequestedAt is when the changes were last wanted of the one that told, zero if they
-	// were not yet.
+	// changesRequestedAt is when the changes were last requested from the peer that reported
+	// them, zero if they were not yet.
 	changesRequestedAt clock.Millis
 }
 
-// ConfirmEngines records that the list of engines, for which sum stands, was complete at
-// the given time.
+// ConfirmEngines records that the list of engines with checksum sum was complete at the
+// given time.
 func (g *Gate) ConfirmEngines(sum uint32, at clock.Millis) {
 	if g.confirmEngines(sum, at) {
 		g.beginUnknownHistory()
 	}
 }
 
-// confirmEngines is ConfirmEngines, and reports whether it was the first time.
+// confirmEngines is ConfirmEngines and returns whether it was the first time.
 func (g *Gate) confirmEngines(sum uint32, at clock.Millis) (first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,8 +87,8 @@
 	return first
 }
 
-// ConfirmEnginesByPeer records that by another's word the list, for which sum stands, was complete at
-// the given time.
+// ConfirmEnginesByPeer records that, by a report of a peer, the list with checksum sum was
+// complete at the given time.
 func (g *Gate) ConfirmEnginesByPeer(sum uint32, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,66 +98,68 @@
 	g.setList(sum, at)
 }
 
-// setList takes the list, for which sum stands, to have been complete at the given time.
-// The caller holds mu.
+// setList records that the list with checksum sum was complete at the given time. The
+// caller holds mu.
 func (g *Gate) setList(sum uint32, at clock.Millis) {
 	g.listFreshness.Confirm(at)
 	g.list.sum = max(1, sum)
 	g.list.behind = false
 }
 
-// Changes returns what came to the list lately.
+// Changes returns the log of recent changes of the list.
 func (g *Gate) Changes() *changes.Log { return &g.changes }
 
-// SetEngineWatchActive records whether a watch waits for changes of the list.
-func (g *Gate) SetEngineWatchActive(waits bool) {
+// SetEngineWatchActive records whether a watch of the list is open.
+func (g *Gate) SetEngineWatchActive(active bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.list.watched = waits
+	g.list.watched = active
 }
 
-// ListShared reports whether others' word tells whether the list is unchanged: there are
-// some of them, their word comes in time, and the store is not in doubt.
+// ListShared reports whether peers can confirm that the list is unchanged: there are enough
+// of them, their reports arrive in time, and the store is not stale.
 func (g *Gate) ListShared() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.listShared(g.clk.Now())
 }
 
-// listShared is ListShared. Where the list is due before word of another can be there, all
-// would ask nevertheless, and more often. The caller holds mu.
+// listShared is ListShared for callers that hold mu. If the list is due before a report can
+// arrive, all entries would ask the store anyway, and more often.
 func (g *Gate) listShared(now clock.Millis) bool {
 	n := g.fleet.Entries
 	inTime := drainingDuePart*float64(g.bounds().Draining) >= float64(propagationLag(n))
 	return inTime && n > fewEntries && g.listFreshness.Known() && !g.epoch.Doubts(now)
 }
 
-// propagationLag returns how long word of an entry takes to the last of n. Each step of its way
-// divides the entries that it has yet to reach, so the steps grow as the logarithm.
+// propagationLag returns how long a report takes to reach the last of n entries. Each hop
+// divides the number of entries that are left, so the number of hops grows with the
+// logarithm of n.
 func propagationLag(n int) clock.Millis {
 	return clock.Millis(float64(PropagationLag) * min(1, math.Log(float64(n))/math.Log(propagationEntries)))
 }
 
-// ListReadDue reports whether the store should be asked for the list of engines, if none asks
-// it: nobody has for a while, or another entry knows a later one.
+// ListReadDue reports whether this entry should read the list of engines from the store: no
+// entry has confirmed it for some time, or another entry has a later list.
 func (g *Gate) ListReadDue() bool {
 	due := drainingDuePart * float64(g.bounds().Draining)
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	since := now - g.list.readAt
-	// What changes together costs one call, and a peer that lies no more than there would
-	// be without it.
+	// Changes at about the same time cost one call, and false reports cost no more calls
+	// than there would be without reports.
 	behind := g.list.behind && now-g.list.changesRequestedAt >= changesTimeout && !g.changes.HasPending()
-	unproved := g.list.unverifiedSince > 0 && now-g.list.unverifiedSince > unverifiedMaxAge
-	if since > ownReadPeriod || unproved || (behind && since >= clock.Millis(due)) {
+	unverified := g.list.unverifiedSince > 0 && now-g.list.unverifiedSince > unverifiedMaxAge
+	if since > ownReadPeriod || unverified || (behind && since >= clock.Millis(due)) {
 		return true
 	}
 	return g.confirmationDue(func(part float64) bool { return !g.listFreshness.Within(clock.Millis(part*due), now) })
 }
 
-// confirmationDue reports whether this entry should confirm something that was confirmed a part of the
-// time ago in which it must be. The caller holds mu.
+// confirmationDue reports whether this entry should confirm the table or the list now.
+// older reports whether the last confirmation is older than a part of the time in which one
+// is due. The caller holds mu.
 func (g *Gate) confirmationDue(older func(part float64) bool) bool {
 	switch {
 	case older(1):
@@ -164,8 +172,8 @@
 	return older(randomDuePart) && random() < 1/float64(max(1, g.fleet.Entries))
 }
 
-// reportList returns the sum over the list and its age, or zero if there is nothing to tell.
-// The caller holds mu.
+// reportList returns the checksum of the list and its age, or zero if it must not be
+// reported. The caller holds mu.
 func (g *Gate) reportList(now clock.Millis) (sum uint32, age clock.Millis) {
 	if !g.listShared(now) {
 		return 0, 0
@@ -177,8 +185,8 @@
 	return g.list.sum, age
 }
 
-// receiveList takes word of a peer that speaks of the same epoch that the list was as sum
-// says at the given time. The caller holds mu.
+// receiveList records the report of a peer of the same epoch that the list had the given
+// checksum at the given time. The caller holds mu.
 func (g *Gate) receiveList(sum uint32, at, now clock.Millis) {
 	if sum == 0 || at > now || !g.listShared(now) {
 		return
@@ -192,7 +200,8 @@
 	}
 }
 
-// WantedChanges implements peers.Host: the changes are wanted of the one that told of a later list.
+// WantedChanges implements peers.Host. Changes are requested only from the peer that
+// reported the later list.
 func (g *Gate) WantedChanges(sum uint32) (changes.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -200,11 +209,11 @@
 	if !g.list.behind || sum != g.list.peerSum || g.changes.HasPending() || !g.listShared(now) {
 		return changes.Position{}, false
 	}
-	place, ok := g.changes.Position()
+	pos, ok := g.changes.Position()
 	if ok {
 		g.list.changesRequestedAt = now
 	}
-	return place, ok
+	return pos, ok
 }
 
 // ChangesSince implements peers.Host.
@@ -212,14 +221,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum, age := g.reportList(g.clk.Now())
-	came, to, ok := g.changes.Since(p)
+	list, to, ok := g.changes.Since(p)
 	if sum == 0 || !ok {
 		return changes.Delta{}, false
 	}
-	return changes.Delta{From: p, To: to, Sum: sum, Age: age, Changes: came}, true
+	return changes.Delta{From: p, To: to, Sum: sum, Age: age, Changes: list}, true
 }
 
-// ReceiveChanges implements peers.Host. Who follows the list judges what it says.
+// ReceiveChanges implements peers.Host. The delta is validated when it is applied.
 func (g *Gate) ReceiveChanges(from string, w changes.Delta, at clock.Millis) {
 	if w.Age >= 0 {
 		g.changes.SetPending(changes.PeerDelta{Delta: w, Peer: from, ValidAt: at - w.Age})
--- a/gate/news.go
+++ b/gate/news.go
@@ -7,9 +7,9 @@
 	"github.com/weldfall/weldfall/table"
 )
 
-// SetTable puts a newer version of the routes and keys in force, which came so.
-// An older version than the one in force is ignored: it only shows, once the store has
-// all that was written before its epoch, that nothing newer is published.
+// SetTable puts a version of the routes and keys in force; a describes how it arrived. A
+// version older than the one in force is ignored. It only shows that nothing newer is
+// published, once the store has everything that was written before its epoch.
 func (g *Gate) SetTable(t *table.Table, a table.Arrival) {
 	old := g.table.Load()
 	if old != nil && t.Version() < old.Version() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// ConfirmTable records that by an answer of an epoch of the store the table and the
+// ConfirmTable records that, by a response of an epoch of the store, the table and the
 // evacuations in force were still the newest at the given time.
 func (g *Gate) ConfirmTable(epoch int64, at clock.Millis) {
 	g.mu.Lock()
@@ -51,35 +51,35 @@
 	}
 }
 
-// BeginTableTransfer records that the store has begun to send a large version, newer than
-// the one in force if news is true.
-func (g *Gate) BeginTableTransfer(news bool) {
+// BeginTableTransfer records that the store has begun to send a large version, which is
+// newer than the one in force if newer is true.
+func (g *Gate) BeginTableTransfer(newer bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.transferring = true
-	if news && g.announcedAt == 0 {
+	if newer && g.announcedAt == 0 {
 		g.announcedAt = g.clk.Now()
 	}
 }
 
-// EndTableTransfer records that the store sends no version any more.
+// EndTableTransfer records that the store has stopped sending a version.
 func (g *Gate) EndTableTransfer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.transferring = false
 }
 
-// outdatedMargin is taken off the bound for changes: a change may have been
-// confirmed that much before this entry heard of it, since a slow store answers
-// after 400 ms, and a request is on its way to an engine for some time.
+// outdatedMargin is subtracted from the bound for changes. This entry may learn of a change
+// that much later than others, since a slow store responds after 400 ms, and a request
+// takes some time to reach an engine.
 const outdatedMargin clock.Millis = 650
 
-// outdated returns how long the version in force has been known not to be the newest
-// if that is too long to serve by it, else 0. It takes both: evidence that a change
-// is as old as the operators' bound, from the store or from a peer, and that the
-// store is sending it. An entry that the store does not reach serves on by what it
-// has, since nobody can tell it more, and for as long as the store is away all would
-// have to refuse. The caller holds mu.
+// outdated returns how long the version in force has been known not to be the newest, if
+// that is too long to serve by it, else 0. Both are required: evidence from the store or a
+// peer that a change is as old as the operators' bound, and a store that is sending it. An
+// entry that cannot reach the store keeps serving with what it has, since it cannot learn
+// more, and otherwise all entries would reject requests while the store is unavailable. The
+// caller holds mu.
 func (g *Gate) outdated(now clock.Millis) clock.Millis {
 	t := g.table.Load()
 	if t == nil || !g.transferring {
@@ -98,7 +98,7 @@
 	return age
 }
 
-// logTable logs and counts how a version came that is now in force.
+// logTable logs and counts how the version in force arrived.
 func (g *Gate) logTable(t *table.Table, a table.Arrival) {
 	now := g.clk.Now()
 	g.log.Info("table_in_force", "version", t.Version(), "age_ms", now-a.TrueAt, "bytes", a.Bytes, "heard_ms", now-a.HeardAt,
@@ -111,8 +111,8 @@
 
 const microsPerSecond = 1_000_000
 
-// tableAge returns how long ago the table was last known to be the newest, in
-// seconds, or -1 if there is none.
+// tableAge returns the time since the table was last known to be the newest, in seconds, or
+// -1 if there is no table.
 func (g *Gate) tableAge() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +122,7 @@
 	return inSeconds(g.tableFreshness.Age(g.clk.Now()))
 }
 
-// tableCounts are the histograms of how versions came into force.
+// tableCounts are the histograms of the arrival of versions.
 type tableCounts struct {
 	bytes, transfer, decoding, building *metrics.Histogram
 }
--- a/gate/place.go
+++ b/gate/place.go
@@ -11,14 +11,14 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// choose takes the engine for the next attempt and counts the request there. One that is
-// alone goes where the fewest others are.
+// choose chooses the engine for the next attempt and counts the request there. An isolated
+// request goes where the fewest others are.
 func (g *Gate) choose(c *call, alone bool) (pick, *verdict.Error) {
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.knowsEvacuations(now) {
-		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's word of evacuations is %d ms old", g.tableFreshness.Age(now)).WithRetryAfter(g.retryElsewhere(now))
+		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's list of evacuations is %d ms old", g.tableFreshness.Age(now)).WithRetryAfter(g.retryElsewhere(now))
 	}
 	bound, slack := engines.PromptBound(g.bounds().LoadBound)
 	service, _ := c.table.Service(c.service)
@@ -28,7 +28,7 @@
 		Silence: maxSilence(c.route), Cold: g.warmup(c), Tried: c.tried, Alone: alone, Random: random(),
 	}, now)
 	if !ok && alone {
-		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines ended while they ran this request, and no engine of %s can be spared to try it", c.service).WithRetryAfter(retrySoon)
+		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines crashed while they ran this request, and no engine of %s is free to run it in isolation", c.service).WithRetryAfter(retrySoon)
 	}
 	if !ok {
 		return pick{}, g.noEngine(c)
@@ -46,23 +46,23 @@
 	return p, nil
 }
 
-// pick is the engine of an attempt.
+// pick is the engine chosen for an attempt.
 type pick struct {
 	engines.Info
-	// source is the address of an engine that may keep more of the prompt, ""
-	// if none is known.
+	// source is the address of an engine that may have a longer prefix of the prompt, "" if
+	// none is known.
 	source string
 }
 
-// silenceGoals is how many times its goal a request allows for the silence of the
-// engine that it goes to.
+// silenceGoals is the number of times its goal that a request tolerates as silence of its
+// engine.
 const silenceGoals = 2
 
-// maxSilence is how long an engine may leave requests without a sign before a
-// request of a route goes elsewhere.
+// maxSilence returns how long an engine may leave requests without output before a request
+// of the route goes to another engine.
 func maxSilence(r *table.Route) clock.Millis { return silenceGoals * r.GoalOrUsual() }
 
-// recordActivity records a sign of life, with the load that it told, if any.
+// recordActivity records that an engine sent something, with its reported load, if any.
 func (g *Gate) recordActivity(n engines.Incarnation, load string) {
 	now := g.clk.Now()
 	g.mu.Lock()
@@ -77,8 +77,8 @@
 	}
 }
 
-// finish counts the end of a request at an engine. What it tells is of the life that
-// the request was sent to.
+// finish records the end of a request at an engine. The outcome counts for the incarnation
+// that the request was sent to.
 func (g *Gate) finish(n engines.Incarnation, o engines.Outcome) {
 	now := g.clk.Now()
 	g.mu.Lock()
@@ -92,8 +92,8 @@
 	g.applyTrust(n, trust, string(o))
 }
 
-// applyTrust logs what changed in the trust in an engine, and has one sought that cannot
-// be reached.
+// applyTrust logs a change of the trust in an engine and starts to reconnect to one that is
+// unreachable.
 func (g *Gate) applyTrust(n engines.Incarnation, t engines.Trust, cause string) {
 	g.logTrust(n.ID, t, cause)
 	if t == engines.Suspected {
@@ -108,12 +108,12 @@
 	}
 }
 
-// reconnectPeriod is how often an engine is sought that could not be reached.
+// reconnectPeriod is how often a connection to an unreachable engine is tried.
 const reconnectPeriod clock.Millis = 500
 
-// reconnect opens connections to an engine that could not be reached until one comes
-// up or the list has lost it, so that no request is spent to find out: at a dark
-// engine each would wait for as long as a connection may take.
+// reconnect tries to connect to an unreachable engine until it succeeds or the engine is no
+// longer listed. So no request has to find out whether the engine is back: at an
+// unresponsive engine each would wait for the whole connection timeout.
 func (g *Gate) reconnect(n engines.Incarnation) {
 	for !g.shutdown.aborting.Load() {
 		clock.Sleep(context.Background(), reconnectPeriod)
@@ -136,7 +136,7 @@
 	}
 }
 
-// parseLoad reads "running,waiting,slots".
+// parseLoad parses "running,waiting,slots".
 func parseLoad(v string) (engines.Load, bool) {
 	running, rest, ok := strings.Cut(v, ",")
 	if !ok {
--- a/gate/prompt/prompt.go
+++ b/gate/prompt/prompt.go
@@ -1,6 +1,5 @@
-// Package prompt reads the parts that callers name of their prompts. Engines
-// keep parts in memory, so requests that begin alike are best sent alike. It
-// is pure.
+// Package prompt parses the header in which callers list the parts of a prompt. Engines
+// cache prompt parts, so requests with a common prefix are best sent to the same engine.
 package prompt
 
 import (
@@ -10,32 +9,31 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Part is one piece of a prompt.
+// Part is one part of a prompt.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// maxParts bounds the parts that are looked at.
+// maxParts is the maximum number of parts that are considered.
 const maxParts = 64
 
-// tokensMost bounds the tokens of one answer: far more than any has.
-const tokensMost = 1 << 30
+// maxTokens caps the number of tokens of a response, far above any real one.
+const maxTokens = 1 << 30
 
-// MaxResponseTokens returns the most tokens that an answer may have, from a header
-// value of the form PROMPT,MOST, or 0 if it does not say.
+// MaxResponseTokens returns the maximum number of tokens of the response from a header
+// value of the form PROMPT,MAX, or 0 if it is missing or invalid.
 func MaxResponseTokens(value string) int {
 	_, most, ok := strings.Cut(value, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(most))
 	if !ok || err != nil {
 		return 0
 	}
-	return min(max(0, n), tokensMost)
+	return min(max(0, n), maxTokens)
 }
 
-// Parse reads "ID:TOKENS,ID:TOKENS". What cannot be read is left out: the
-// engine is handed the text as it is, and a worse choice of engine is all that
-// can come of it.
+// Parse parses "ID:TOKENS,ID:TOKENS". It stops at the first invalid part: the engine gets
+// the prompt unchanged, so the worst result is a less suitable engine.
 func Parse(text string) []Part {
 	var parts []Part
 	for item := range strings.SplitSeq(text, ",") {
@@ -52,9 +50,9 @@
 	return parts
 }
 
-// PrefixKeys hashes the beginnings that other requests may share: one for each part
-// but the last, which is a request's own or its session's, from the shortest
-// on. A prompt of one part is hashed whole. PrefixKeys are never zero.
+// PrefixKeys returns hashes of the prefixes that other requests may share, from the
+// shortest on: one for each part but the last, which belongs to the request or its session.
+// A prompt of one part has one key. Keys are never zero.
 func PrefixKeys(parts []Part) []uint64 {
 	if len(parts) == 0 {
 		return nil
@@ -70,7 +68,8 @@
 	return keys
 }
 
-// SuffixTokens returns the length of what is a request's own or its session's.
+// SuffixTokens returns the length of the last part, which belongs to the request or its
+// session, or 0 if the prompt has only one part.
 func SuffixTokens(parts []Part) int {
 	if len(parts) < 2 {
 		return 0
@@ -78,7 +77,7 @@
 	return parts[len(parts)-1].Tokens
 }
 
-// PrefixTokens returns the length of what other requests may share.
+// PrefixTokens returns the length of the prefix that other requests may share.
 func PrefixTokens(parts []Part) int {
 	if len(parts) == 0 {
 		return 0
--- a/gate/reading.go
+++ b/gate/reading.go
@@ -5,11 +5,12 @@
 	"github.com/weldfall/weldfall/engines/prefill"
 )
 
-// maxPrefillSpeeds bounds the services whose speed of reading is remembered, of 1 KB each.
+// maxPrefillSpeeds is the maximum number of services whose prefill speed is kept, 1 KB
+// each.
 const maxPrefillSpeeds = 64
 
-// learnPrefill records when the first event of an answer came. Of a request that went out
-// again it tells nothing: what the engine before had read is not known.
+// learnPrefill records the time to the first event of a response. A retried request is not
+// counted, because how much the earlier engine had prefilled is unknown.
 func (g *Gate) learnPrefill(c *call, now clock.Millis) {
 	if len(c.tried) != 1 || len(c.prefixKeys) == 0 {
 		return
@@ -27,8 +28,8 @@
 	s.Note(c.suffixTokens, now-c.sentAt)
 }
 
-// prefillMillis returns the milliseconds in which an engine of a service reads one token, 0 if
-// that is not known. The caller holds mu.
+// prefillMillis returns the time that an engine of a service takes to prefill one token, in
+// milliseconds, 0 if that is unknown. The caller holds mu.
 func (g *Gate) prefillMillis(service string) float64 {
 	if s := g.prefillSpeeds[service]; s != nil {
 		return s.PerToken()
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// discardLimit bounds what is read of an answer that nobody wants, in bytes.
+	// discardLimit is the maximum number of bytes that are read from a response that is
+	// discarded.
 	discardLimit = 64 << 10
-	// minStreamSilence is how long a resumable stream may at least pause before it
-	// is taken up elsewhere: under the two seconds after which callers abandon
-	// a stream.
+	// minStreamSilence is the minimum pause after which a resumable stream is continued at
+	// another engine: less than the two seconds after which callers abandon a stream.
 	minStreamSilence clock.Millis = 1000
-	// streamSilencePauses is how many of the longest pauses that are on time it may
-	// pause; callers abandon it after eight.
+	// streamSilencePauses is the pause allowed to a resumable stream as a multiple of the
+	// route's pause goal. Callers abandon a stream after eight.
 	streamSilencePauses = 2.5
 )
 
-// discardRest reads the rest of an answer, so that its connection can be kept.
+// discardRest reads the rest of a response, so that its connection can be reused.
 func discardRest(a *upstream.Answer) {
-	// An answer that cannot be read to its end costs its connection.
+	// If the rest cannot be read, the connection is closed.
 	_, _ = io.CopyN(io.Discard, a, discardLimit)
 }
 
-// relay passes the answer of an engine on to the caller.
+// relay passes the response of an engine on to the caller.
 func (g *Gate) relay(ctx context.Context, c *call, e engines.Info, a *upstream.Answer) attempt.Outcome {
 	x := exchange{g, c, e.Incarnation()}
 	o := c.reply.Relay(ctx, x, a.Response, a)
@@ -43,7 +43,7 @@
 	return o
 }
 
-// exchange is the exchange with an engine in which a call's answer comes.
+// exchange is a call's exchange with one incarnation of an engine.
 type exchange struct {
 	g    *Gate
 	c    *call
@@ -79,8 +79,7 @@
 	x.g.learnPace(x.c, x.g.clk.Now())
 }
 
-// learnPace records when the first event came, and how long each run of events
-// took.
+// learnPace records the time to the first event and the duration of each run of events.
 func (g *Gate) learnPace(c *call, now clock.Millis) {
 	n := c.events
 	switch {
@@ -97,14 +96,14 @@
 	c.runStart, c.runStartAt = n, now
 }
 
-// learnRest records how long the events took that came after the last run.
+// learnRest records the duration of the events after the last run.
 func (g *Gate) learnRest(c *call) {
 	if n := c.events - c.runStart; c.runStart > 0 && n > 0 {
 		g.durations.RecordTail(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runStartAt)
 	}
 }
 
-// replyTo returns the answer to a call, which has not begun.
+// replyTo returns the response to a call, which has not begun.
 func (g *Gate) replyTo(c *call) *relay.Reply {
 	return relay.New(relay.Config{W: c.w, R: c.r, Clock: g.clk, SetHeaders: func(to, from http.Header) {
 		if from != nil {
@@ -117,7 +116,7 @@
 	}})
 }
 
-// copyHead sets the engine's headers on the answer.
+// copyHead copies the headers of the engine's response.
 func (g *Gate) copyHead(to, from http.Header) {
 	dropped := connectionNames(from)
 	for k, v := range from {
@@ -126,7 +125,7 @@
 		}
 	}
 	if _, ok := to["Content-Type"]; !ok {
-		// Without it the library would guess one.
+		// Without an entry net/http would detect a type from the body.
 		to["Content-Type"] = nil
 	}
 }
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -15,86 +15,88 @@
 )
 
 const (
-	// plainLimit is the largest answer in bytes that is held until it has ended, so that
-	// one that breaks off can be told as a failure. A larger one is passed on as it comes.
-	plainLimit = 256 << 10
-	// bufferSize is the size of the buffer for what is passed on as it comes, in bytes.
+	// bufferLimit is the maximum size in bytes of a response that is buffered until its end,
+	// so that a failure can be returned if it breaks off. Larger responses are passed on as
+	// they arrive.
+	bufferLimit = 256 << 10
+	// bufferSize is the size in bytes of the buffer for data that is passed on as it arrives.
 	bufferSize = 8 << 10
 )
 
-// Body is the body of an engine's answer.
+// Body is the body of an engine's response.
 type Body interface {
-	// Read returns io.EOF where the body ends by its framing, or with its connection if it
-	// has none.
+	// Read returns io.EOF at the end given by the framing of the body, or at the end of the
+	// connection if it has no framing.
 	io.Reader
-	// Buffered returns how many bytes can be read at once.
+	// Buffered returns how many bytes can be read without waiting.
 	Buffered() int
-	// Limit sets the time by which the next bytes must come.
+	// Limit sets the time within which the next bytes must arrive.
 	Limit(d clock.Millis)
 }
 
-// Exchange is the exchange with an engine of which an answer is part.
+// Exchange is the exchange with an engine that a response belongs to.
 type Exchange interface {
-	// WantsStream reports whether the answer is to be a stream of events.
+	// WantsStream reports whether the response should be a stream of events.
 	WantsStream() bool
-	// TimeLeft returns how long the caller waits.
+	// TimeLeft returns how long the caller still waits.
 	TimeLeft() clock.Millis
 	// ReadTimeout returns how long the engine may take for the next bytes of a stream.
 	ReadTimeout() clock.Millis
-	// OnRead is called when bytes of a stream have come.
+	// OnRead is called when bytes of a stream have arrived.
 	OnRead()
-	// OnEvents is called before events are written, with how many have come in all engines'
-	// answers.
+	// OnEvents is called before events are written, with the total number of events so far in
+	// the responses of all engines.
 	OnEvents(events int)
-	// OnUnbuffered is called when an answer turns out to be too long to be held.
+	// OnUnbuffered is called when a response is too large to be buffered.
 	OnUnbuffered()
 }
 
-// Ends of streams that are told as broken off, though their framing does not say so.
+// Streams that are reported as broken, though their framing does not show it.
 var (
-	// errInsideEvent means that the engine broke the stream off, whatever its framing says.
-	errInsideEvent = fmt.Errorf("the stream ends inside an event: %w", io.ErrUnexpectedEOF)
-	// errTooLong means that an event is too long to be held until it is whole.
-	errTooLong = errors.New("an event without an end")
-	// ErrEndUnconfirmed means that the engine that took up a stream did not say that it is
-	// complete, where the reply has begun as one that says so. It is no fault of the engine.
-	ErrEndUnconfirmed = errors.New("the rest of the stream ends with its connection")
+	// errInsideEvent means that a stream ended within an event, whatever its framing says.
+	errInsideEvent = fmt.Errorf("the stream ended within an event: %w", io.ErrUnexpectedEOF)
+	// errTooLong means that an event is too large to be buffered.
+	errTooLong = errors.New("the event is too large to buffer")
+	// ErrEndUnconfirmed means that the engine that continued a stream did not mark its end,
+	// while the framing of the reply has an end mark. It is no fault of the engine.
+	ErrEndUnconfirmed = errors.New("the continued stream ended with its connection, without an end mark")
 )
 
-// Relay reads an answer to its end and passes it on. The reply begins as late as it can, so
-// that an answer that breaks off early can be told as a failure or taken elsewhere.
+// Relay reads a response to its end and passes it on. The reply begins as late as possible,
+// so that a response that breaks off early can be reported as a failure or retried
+// elsewhere.
 func (p *Reply) Relay(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
 	p.observed = Observed{Framing: framing.Of(head)}
 	switch {
 	case x.WantsStream() && head.StatusCode == http.StatusOK && hasEvents(head.Header):
 		return p.relayStream(ctx, x, head, body)
 	case p.Started():
-		return attempt.Broken{Err: fmt.Errorf("status %d in place of the rest of a stream", head.StatusCode)}
+		return attempt.Broken{Err: fmt.Errorf("status %d in response to the continuation of a stream", head.StatusCode)}
 	}
-	return p.relayPlain(ctx, x, head, body)
+	return p.relayBuffered(ctx, x, head, body)
 }
 
-// hasEvents reports whether a body is a stream of events that can be read.
+// hasEvents reports whether the body is a stream of events that can be parsed.
 func hasEvents(h http.Header) bool {
 	mediaType, _, _ := strings.Cut(h.Get("Content-Type"), ";")
 	coding := h.Get("Content-Encoding")
 	return strings.EqualFold(strings.TrimSpace(mediaType), "text/event-stream") && (coding == "" || strings.EqualFold(coding, "identity"))
 }
 
-// relayPlain holds an answer until it has ended.
-func (p *Reply) relayPlain(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
+// relayBuffered buffers a response until it has ended.
+func (p *Reply) relayBuffered(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
 	var held bytes.Buffer
-	_, err := io.CopyN(&held, body, plainLimit)
+	_, err := io.CopyN(&held, body, bufferLimit)
 	if err == nil {
-		return p.relayLong(ctx, x, head, body, held.Bytes())
+		return p.relayUnbuffered(ctx, x, head, body, held.Bytes())
 	}
 	if p.end(err); !errors.Is(err, io.EOF) {
-		return brokenOr(ctx, err)
+		return brokenOrGone(ctx, err)
 	}
 	h := &attempt.Held{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.End}
 	switch {
-	case promises(head.StatusCode):
-		return attempt.Broken{Err: fmt.Errorf("status %d without word that the request did not run", head.StatusCode)}
+	case impliesNotRun(head.StatusCode):
+		return attempt.Broken{Err: fmt.Errorf("status %d without the header that says that the request did not run", head.StatusCode)}
 	case head.StatusCode >= http.StatusInternalServerError:
 		return attempt.Failed{Answer: h}
 	}
@@ -102,9 +104,9 @@
 	return attempt.Answered{End: h.End}
 }
 
-// promises reports whether callers take a status for "has not run and never
-// will", which only an engine's own word can back.
-func promises(status int) bool {
+// impliesNotRun reports whether callers take the status as a promise that the request did
+// not run and never will. Only an engine that marks its response so can make that promise.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -112,12 +114,12 @@
 	return false
 }
 
-// relayLong passes on an answer that is too long to be held.
-func (p *Reply) relayLong(ctx context.Context, x Exchange, head *http.Response, body Body, first []byte) attempt.Outcome {
+// relayUnbuffered passes on a response that is too large to be buffered.
+func (p *Reply) relayUnbuffered(ctx context.Context, x Exchange, head *http.Response, body Body, first []byte) attempt.Outcome {
 	x.OnUnbuffered()
 	p.begin(head.StatusCode, head.Header, p.observed.Framing, head.ContentLength)
-	// The head's limit no longer holds: nothing can be taken elsewhere now, and
-	// the caller may be slow.
+	// The timeout for the header no longer applies: the request cannot be retried any more,
+	// and the caller may be slow.
 	body.Limit(x.TimeLeft())
 	if err := p.write(first); err != nil {
 		return attempt.CallerGone{}
@@ -134,15 +136,15 @@
 		if p.end(err); errors.Is(err, io.EOF) {
 			return attempt.Answered{End: p.observed.End}
 		}
-		// The caller may have what has come, whatever becomes of the rest.
+		// Pass on what has arrived, whatever happens to the rest.
 		_ = p.flush()
-		return brokenOr(ctx, err)
+		return brokenOrGone(ctx, err)
 	}
 }
 
-// relayStream passes whole events on as they come. Nothing is written before
-// the first of them, so that a stream that breaks off before it can be
-// answered as a failure or taken elsewhere.
+// relayStream passes on complete events as they arrive. Nothing is written before the first
+// complete event, so that a stream that breaks off earlier can be reported as a failure or
+// retried elsewhere.
 func (p *Reply) relayStream(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
 	buf := make([]byte, bufferSize)
 	for {
@@ -151,7 +153,7 @@
 		if n > 0 {
 			x.OnRead()
 		}
-		whole, ok := p.split.Add(buf[:n])
+		whole, ok := p.splitter.Add(buf[:n])
 		if !ok {
 			err = errTooLong
 		}
@@ -160,11 +162,11 @@
 		}
 		ended := errors.Is(err, io.EOF)
 		if ended {
-			// Empty lines and comments.
-			whole = append(whole, p.split.Pending()...)
+			// The rest can only be empty lines and comments.
+			whole = append(whole, p.splitter.Pending()...)
 		}
 		if err != nil {
-			p.split.Drop()
+			p.splitter.Drop()
 		}
 		if (len(whole) > 0 || ended) && !p.passEvents(x, head, whole) {
 			return attempt.CallerGone{}
@@ -176,7 +178,7 @@
 		case ended:
 			return attempt.Answered{End: p.observed.End}
 		case err != nil:
-			return brokenOr(ctx, err)
+			return brokenOrGone(ctx, err)
 		}
 	}
 }
@@ -187,23 +189,23 @@
 	switch {
 	case !errors.Is(err, io.EOF):
 		return err
-	case p.split.Inside():
+	case p.splitter.Inside():
 		return errInsideEvent
-	case p.observed.End == framing.Closed && p.framed == framing.Chunked:
+	case p.observed.End == framing.Closed && p.framing == framing.Chunked:
 		return ErrEndUnconfirmed
 	}
 	return io.EOF
 }
 
-// end records what is known of an answer by the error that ended its reading.
+// end records how a response ended from the error that ended reading it.
 func (p *Reply) end(err error) {
 	p.observed.End = p.observed.Framing.End(err)
-	if p.split.Inside() {
-		p.observed.End, p.observed.PartialBytes = framing.Incomplete, len(p.split.Pending())
+	if p.splitter.Inside() {
+		p.observed.End, p.observed.PartialBytes = framing.Incomplete, len(p.splitter.Pending())
 	}
 }
 
-// passEvents writes events and reports whether the caller may still take more.
+// passEvents writes events and reports whether the caller still accepts data.
 func (p *Reply) passEvents(x Exchange, head *http.Response, whole []byte) bool {
 	if !p.Started() {
 		f := framing.Chunked
@@ -211,14 +213,14 @@
 			f = framing.UntilClose
 		}
 		p.begin(head.StatusCode, head.Header, f, 0)
-		p.streams = true
+		p.streaming = true
 	}
-	x.OnEvents(p.split.Count())
+	x.OnEvents(p.splitter.Count())
 	return p.write(whole) == nil
 }
 
-// brokenOr is the outcome of a read that failed.
-func brokenOr(ctx context.Context, err error) attempt.Outcome {
+// brokenOrGone returns the outcome of a failed read.
+func brokenOrGone(ctx context.Context, err error) attempt.Outcome {
 	if ctx.Err() != nil {
 		return attempt.CallerGone{}
 	}
--- a/gate/relay/reply.go
+++ b/gate/relay/reply.go
@@ -1,5 +1,5 @@
-// Package relay reads an engine's answer to its end, decides what is known of that end, and
-// passes the answer on so that its caller can know the same.
+// Package relay reads the response of an engine to its end, determines whether it is
+// complete, and passes it on in a way that lets the caller know the same.
 package relay
 
 import (
@@ -13,50 +13,50 @@
 	"github.com/weldfall/weldfall/engines/events"
 )
 
-// Config sets up a Reply.
+// Config configures a Reply.
 type Config struct {
 	W http.ResponseWriter
 	R *http.Request
-	// SetHeaders sets the headers that go before an engine's answer, or a failure of our own if
-	// from is nil. It is called once, before the head is written.
+	// SetHeaders sets the headers of the reply from those of the engine's response, or from
+	// is nil for a failure of this process. It is called once, before the header is written.
 	SetHeaders func(to, from http.Header)
 	Clock      *clock.Clock
 }
 
-// Reply is the answer to a caller. It is that of one engine, unless a stream is taken up at
-// another.
+// Reply is the response to a caller. It comes from one engine, unless a stream is continued
+// by another one.
 type Reply struct {
 	cfg Config
 	rc  *http.ResponseController
-	// status is zero until the head is written.
+	// status is zero until the header is written.
 	status int
-	// framed is how the reply is framed, "" until the head is written.
-	framed framing.Framing
-	// streams is true once events were written, which those of another engine may follow.
-	streams bool
-	// brokenOff is true once the reply can only be broken off.
-	brokenOff bool
-	// split holds what the caller has of a stream.
-	split events.Splitter
-	// unsent is true while the library may hold something that was written.
+	// framing is the framing of the reply, "" until the header is written.
+	framing framing.Framing
+	// streaming is true once events were written, so that events of another engine may follow.
+	streaming bool
+	// aborted is true once the reply can only be aborted.
+	aborted bool
+	// splitter tracks the events that the caller has received.
+	splitter events.Splitter
+	// unsent is true while net/http may buffer written data.
 	unsent bool
-	// observed is what is known of the latest engine's answer.
+	// observed describes the response of the latest engine.
 	observed Observed
 
-	// bytes counts those of the body; firstAt and lastAt are when the first and the latest
-	// of them were written, and pause is the longest time between two writes.
+	// bytes is the number of body bytes written. firstAt and lastAt are when the first and
+	// the latest of them were written. pause is the longest time between two writes.
 	bytes           int64
 	firstAt, lastAt clock.Millis
 	pause           clock.Millis
 }
 
-// Observed is what is known of an engine's answer.
+// Observed describes the response of an engine.
 type Observed struct {
-	// Framing is "" before the answer began.
+	// Framing is "" before the response has begun.
 	Framing framing.Framing
-	// End is "" before the answer has ended.
+	// End is "" before the response has ended.
 	End framing.End
-	// PartialBytes is the number of bytes of the event within which a stream ended.
+	// PartialBytes is the number of bytes of an event that a stream ended within.
 	PartialBytes int
 }
 
@@ -65,53 +65,55 @@
 	return &Reply{cfg: cfg, rc: http.NewResponseController(cfg.W)}
 }
 
-// Started reports whether the head has been written.
+// Started reports whether the header has been written.
 func (p *Reply) Started() bool { return p.status != 0 }
 
-// Status returns the status, 0 before the head was written.
+// Status returns the status code, 0 before the header is written.
 func (p *Reply) Status() int { return p.status }
 
-// CanContinue reports whether another engine's answer may be the reply, or the rest of it.
-func (p *Reply) CanContinue() bool { return !p.Started() || p.streams && p.split.Numbered() }
+// CanContinue reports whether the response of another engine may become the reply or the
+// rest of it.
+func (p *Reply) CanContinue() bool { return !p.Started() || p.streaming && p.splitter.Numbered() }
 
-// MarkAborted has the reply be broken off when its handler ends.
-func (p *Reply) MarkAborted() { p.brokenOff = true }
+// MarkAborted marks the reply to be aborted when its handler returns.
+func (p *Reply) MarkAborted() { p.aborted = true }
 
-// Aborted reports whether the reply must be broken off.
-func (p *Reply) Aborted() bool { return p.brokenOff }
+// Aborted reports whether the reply must be aborted.
+func (p *Reply) Aborted() bool { return p.aborted }
 
-// Observed returns what is known of the latest engine's answer.
+// Observed describes the response of the latest engine.
 func (p *Reply) Observed() Observed { return p.observed }
 
-// EndForCaller returns what the caller can know of the end of the reply, "" before it began.
+// EndForCaller returns how the reply ends from the caller's point of view, "" before it has
+// begun.
 func (p *Reply) EndForCaller() framing.End {
 	switch {
 	case !p.Started():
 		return ""
-	case p.brokenOff:
+	case p.aborted:
 		return framing.Incomplete
-	case p.framed == framing.UntilClose:
+	case p.framing == framing.UntilClose:
 		return framing.Closed
 	}
 	return framing.Complete
 }
 
-// LastEventID returns the id of the latest whole event that was passed on, or "".
-func (p *Reply) LastEventID() string { return p.split.LastID() }
+// LastEventID returns the ID of the latest complete event that was passed on, or "".
+func (p *Reply) LastEventID() string { return p.splitter.LastID() }
 
-// BytesWritten returns how many bytes of the body were written.
+// BytesWritten returns the number of body bytes written.
 func (p *Reply) BytesWritten() int64 { return p.bytes }
 
-// FirstAt returns when the first bytes of the body were written, 0 if none were.
+// FirstAt returns when the first body bytes were written, 0 if none were.
 func (p *Reply) FirstAt() clock.Millis { return p.firstAt }
 
-// LastAt returns when the latest bytes of the body were written, 0 if none were.
+// LastAt returns when the latest body bytes were written, 0 if none were.
 func (p *Reply) LastAt() clock.Millis { return p.lastAt }
 
-// LongestPause returns the longest time between two writes.
+// LongestPause returns the longest time between two writes of the body.
 func (p *Reply) LongestPause() clock.Millis { return p.pause }
 
-// WriteBuffered writes an answer that was held until its end.
+// WriteBuffered writes a response that was buffered until its end.
 func (p *Reply) WriteBuffered(h *attempt.Held) {
 	f := framing.Length
 	if h.End == framing.Closed {
@@ -119,25 +121,25 @@
 	}
 	length := int64(len(h.Body))
 	if p.cfg.R.Method == http.MethodHead {
-		// The length of what was asked about.
+		// The length of the resource, whose body is not sent.
 		n, err := strconv.ParseInt(h.Header.Get("Content-Length"), 10, 64)
 		if length = n; err != nil {
 			f = framing.Chunked
 		}
 	}
 	p.begin(h.Status, h.Header, f, length)
-	// A caller that is gone needs no answer; the count of bytes shows it.
+	// The caller may have gone; the number of bytes written shows it.
 	_ = p.write(h.Body)
 }
 
-// WriteFailure writes a failure of our own, whose headers are already set.
+// WriteFailure writes a failure of this process, whose headers are already set.
 func (p *Reply) WriteFailure(status int, body []byte) {
 	p.begin(status, nil, framing.Length, int64(len(body)))
-	// A caller that is gone needs no answer.
+	// The caller may have gone.
 	_ = p.write(body)
 }
 
-// begin writes the head. The length is that of the body if the reply is framed by it.
+// begin writes the header. length is the length of the body if the reply is framed by it.
 func (p *Reply) begin(status int, from http.Header, f framing.Framing, length int64) {
 	p.cfg.SetHeaders(p.cfg.W.Header(), from)
 	switch f {
@@ -147,11 +149,11 @@
 		callers.UntilClose(p.cfg.W, p.cfg.R)
 	case framing.Chunked:
 	}
-	p.status, p.framed = status, callers.Framing(p.cfg.W, p.cfg.R)
+	p.status, p.framing = status, callers.Framing(p.cfg.W, p.cfg.R)
 	p.cfg.W.WriteHeader(status)
 }
 
-// flush sends what was written and reports whether the caller may still take more.
+// flush sends buffered data and reports whether the caller still accepts it.
 func (p *Reply) flush() bool {
 	if !p.unsent {
 		return true
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -14,43 +14,42 @@
 )
 
 const (
-	// minRetryParts is the least number of parts into which the extra repeats are
-	// divided, extraLives how many parts there are for each entry that is known: a
-	// part is held before a window, another earned in it, and each process that is
-	// started begins with some.
+	// minRetryParts is the minimum number of parts into which the extra retries are divided.
+	// retryPartsPerEntry is the number of parts for each known entry: one is held before a
+	// window, another is earned in it, and each process that is started begins with some.
 	minRetryParts      = 32
 	retryPartsPerEntry = 4
-	// maxMeteredServices bounds the services with counters of their own; the others share
-	// those of otherServices.
+	// maxMeteredServices is the maximum number of services with their own counters. The
+	// others share the counters of otherServices.
 	maxMeteredServices = 64
 	otherServices      = "other"
 )
 
-// grant says whether another attempt may follow one that ended, and why.
+// grant is the decision whether another attempt may follow one that ended.
 type grant string
 
 const (
-	// grantNone: the request may not go to another engine, whatever the budget.
+	// grantNone means that the request may not go to another engine, whatever the budget.
 	grantNone grant = "none"
-	// grantFree: nothing of the attempt arrived, so the next is no repeat.
+	// grantFree means that the attempt did not reach the engine, so the next is no retry.
 	grantFree grant = "free"
-	// grantSpent: a repeat was taken from the budget.
+	// grantSpent means that a retry was taken from the budget.
 	grantSpent grant = "spent"
-	// grantDenied: the budget had none left.
+	// grantDenied means that the budget was used up.
 	grantDenied grant = "denied"
 )
 
 func (a grant) allowed() bool { return a == grantFree || a == grantSpent }
 
-// serviceBudget is the budget of the repeats of a service, with its counters.
+// serviceBudget is the retry budget of a service with its counters.
 type serviceBudget struct {
 	*budget.Budget
 	requests, spent, denied *metrics.Counter
-	// loggedRetries is how many repeats had been asked for when the log was last loggedRetries.
+	// loggedRetries is the number of retries, granted or denied, when they were last logged.
 	loggedRetries uint64
 }
 
-// budget returns the budget of a service. The caller holds mu.
+// budget returns the retry budget of a service. The caller holds mu.
 func (g *Gate) budget(service string) *serviceBudget {
 	bounds := g.bounds()
 	cfg := budget.Config{
@@ -75,7 +74,7 @@
 	return b
 }
 
-// countRequest lets the budget grow with each request.
+// countRequest counts a request for the retry budget of its service.
 func (g *Gate) countRequest(c *call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -84,8 +83,8 @@
 	b.requests.Inc()
 }
 
-// grantRetry takes a repeat from the budget of a service, unless nothing of the attempt
-// that ended arrived.
+// grantRetry takes a retry from the budget of a service, unless the ended attempt did not
+// reach its engine.
 func (g *Gate) grantRetry(service string, o attempt.Outcome, now clock.Millis) grant {
 	if _, ok := o.(attempt.Unsent); ok {
 		return grantFree
@@ -101,7 +100,7 @@
 	return grantSpent
 }
 
-// logRetries tells of each budget that was asked for repeats since it was last told of.
+// logRetries logs each budget with new retries since it was last logged.
 func (g *Gate) logRetries() {
 	now := g.clk.Now()
 	bounds := g.bounds()
--- a/gate/request.go
+++ b/gate/request.go
@@ -10,14 +10,14 @@
 	"github.com/weldfall/weldfall/table"
 )
 
-// hopByHop are headers that concern one connection only, or that this process
-// writes itself.
+// hopByHop are the headers that concern a single connection or that this process writes
+// itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Host": true,
 }
 
-// request returns what the engine is sent.
+// request returns the request that is sent to the engine.
 func (g *Gate) request(c *call, e pick, now clock.Millis) *upstream.Request {
 	h := make(http.Header, len(c.r.Header)+addedHeaders)
 	dropped := connectionNames(c.r.Header)
@@ -48,9 +48,9 @@
 	}
 }
 
-// suspectAfter is how long a request waits for a sign of its engine before the engine's
-// connections are in suspectAfter: until it, or a stream of its kind, would be taken
-// elsewhere if it might be repeated.
+// suspectAfter returns how long a request waits for output of its engine before the
+// connections to the engine become suspect: the time after which the request, or a stream
+// of its kind, would move to another engine if it could be retried.
 func suspectAfter(r *table.Route) clock.Millis {
 	if r.Kind != table.Stream {
 		return maxSilence(r)
@@ -58,10 +58,10 @@
 	return max(maxSilence(r), minStreamSilence, clock.Millis(streamSilencePauses*float64(r.PauseGoal)))
 }
 
-// addedHeaders is how many headers this process adds.
+// addedHeaders is the number of headers that this process adds.
 const addedHeaders = 7
 
-// lowestPriority is the largest rank that engines know.
+// lowestPriority is the largest priority value that engines accept.
 const lowestPriority = 9
 
 func priority(c *call) int {
@@ -72,7 +72,7 @@
 	return min(lowestPriority, max(0, p))
 }
 
-// connectionNames are the headers that Connection names.
+// connectionNames returns the headers that Connection names.
 func connectionNames(h http.Header) map[string]bool {
 	var names map[string]bool
 	for _, v := range h["Connection"] {
--- a/gate/resolve.go
+++ b/gate/resolve.go
@@ -16,22 +16,22 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Retry hints.
+// Values of Retry-After.
 const (
-	// retryStale is when a process that does not know the settings may know
-	// them again.
+	// retryStale is when an entry without a current table may have one again.
 	retryStale clock.Millis = 700
-	// retryAtOnce is when a request may come back that another entry can take:
-	// callers come back to another.
+	// retryAtOnce is for requests that another entry can serve: a retry reaches another
+	// entry.
 	retryAtOnce clock.Millis = 10
-	// retrySoon is when an engine may be free or back.
+	// retrySoon is when an engine may be free or reachable again.
 	retrySoon clock.Millis = 250
 )
 
-// defaultBodyLimit bounds a body where the operators name no bound, in bytes.
+// defaultBodyLimit is the maximum size of a body in bytes if the operators set none.
 const defaultBodyLimit = 4 << 20
 
-// check refuses requests whose deciding headers are missing or repeated.
+// check rejects requests in which a required header is missing or a single-valued one is
+// repeated.
 func (g *Gate) check(_ context.Context, c *call) *verdict.Error {
 	h := c.r.Header
 	for _, name := range []string{g.wire.RequestID, g.wire.Deadline, g.wire.Prompt, "Authorization"} {
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// maxRequestTime bounds the time of any request.
+// maxRequestTime is the maximum duration of any request.
 const maxRequestTime = duration.DefaultTimeout
 
-// resolve finds the route and what it says of the request.
+// resolve finds the route and the service of the request.
 func (g *Gate) resolve(_ context.Context, c *call) *verdict.Error {
 	c.table = g.table.Load()
 	if c.table == nil {
@@ -66,7 +66,7 @@
 		return err
 	}
 	if limit, n := c.table.Limits().HeaderBytes, headerBytes(c.r); limit > 0 && n > limit {
-		return verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "the header has %d bytes, at most %d are taken", n, limit)
+		return verdict.New(verdict.NotRun, verdict.HeaderTooLarge, "the header has %d bytes, the limit is %d", n, limit)
 	}
 	path, _, _ := strings.Cut(c.r.RequestURI, "?")
 	route, ok := c.table.Route(c.r.Host, path)
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// checkOutdated refuses what would run by a version that is known to be too old.
+// checkOutdated rejects requests while the version in force is known to be too old.
 func (g *Gate) checkOutdated() *verdict.Error {
 	now := g.clk.Now()
 	g.mu.Lock()
@@ -103,10 +103,10 @@
 	if age == 0 {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, verdict.NotReady, "a newer version of the routes has been on its way to this entry for %d ms", age).WithRetryAfter(back)
+	return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes have been out of date for %d ms: a newer version is still being transferred", age).WithRetryAfter(back)
 }
 
-// headerBytes returns the size of a request's header.
+// headerBytes returns the size of a request's header in bytes.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -117,24 +117,24 @@
 	return n
 }
 
-// headerLineOverhead is what a header line has beside name and value, in bytes.
+// headerLineOverhead is the size of a header line apart from its name and value, in bytes.
 const headerLineOverhead = 4
 
-// denied is the refusal of something that the table does not know. A table
-// that may be out of date only says so.
+// denied returns the error for a key or path that is not in the table. If the table may be
+// out of date, the error says that instead.
 func (g *Gate) denied(reason verdict.Reason, format string, args ...any) *verdict.Error {
 	now := g.clk.Now()
 	g.mu.Lock()
 	age, current, back := g.tableFreshness.Age(now), g.tableFreshness.Within(maxDenialAge, now), g.retryElsewhere(now)
 	g.mu.Unlock()
 	if !current {
-		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes and keys are %d ms old", age).WithRetryAfter(back)
+		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes and keys are %d ms old and may be out of date", age).WithRetryAfter(back)
 	}
 	return verdict.New(verdict.NotRun, reason, format, args...)
 }
 
-// authorise finds the workspace of the key. A key is good only while the
-// table is known to be younger than the bound for revoked keys.
+// authorise finds the workspace of the key. Keys are accepted only while the age of the
+// table is below the bound for revoked keys.
 func (g *Gate) authorise(_ context.Context, c *call) *verdict.Error {
 	if !c.table.Keyed() || c.route.Public {
 		return nil
@@ -156,21 +156,21 @@
 	return nil
 }
 
-// read takes the body, within the bounds for its size and its time.
+// read reads the body within the limits on its size and time.
 func (g *Gate) read(ctx context.Context, c *call) *verdict.Error {
 	limit := int64(defaultBodyLimit)
 	if l := c.table.Limits().BodyBytes; l > 0 {
 		limit = l
 	}
 	if c.r.ContentLength > limit {
-		return verdict.New(verdict.NotRun, verdict.TooLarge, "the body has %d bytes, at most %d are taken", c.r.ContentLength, limit)
+		return verdict.New(verdict.NotRun, verdict.TooLarge, "the body has %d bytes, the limit is %d", c.r.ContentLength, limit)
 	}
 	if !c.hasBody() {
 		return nil
 	}
-	// A connection without deadlines is bounded by the request's context. Unless
-	// the body comes whole the deadline stays: the library reads the rest of a
-	// body before it answers.
+	// A connection that does not support deadlines is bounded by the request's context.
+	// The deadline stays unless the body arrives completely: net/http reads the rest of
+	// a body before it responds.
 	c.bodyRequested = true
 	c.readingBody.Store(true)
 	defer c.readingBody.Store(false)
@@ -183,7 +183,7 @@
 		callers.TellSilentBody(ctx)
 		return verdict.New(verdict.NotRun, verdict.Deadline, "the body did not arrive in time: %w", err)
 	case err != nil:
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "the body did not arrive whole: %w", err)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "the body is incomplete: %w", err)
 	}
 	_ = c.rc.SetReadDeadline(clock.Never())
 	c.body = body
--- a/gate/respond.go
+++ b/gate/respond.go
@@ -16,8 +16,8 @@
 	Message string          `json:"message"`
 }
 
-// statuses are those of failures. 503 and 429 say that the request did not run; 502
-// and 504 say nothing of the kind.
+// statuses maps failures to status codes. 503 and 429 promise that the request did not run;
+// 502 and 504 do not.
 var statuses = failure.Statuses{
 	Always: map[verdict.Reason]int{
 		verdict.BadRequest:     http.StatusBadRequest,
@@ -30,7 +30,8 @@
 	NotRun:     http.StatusServiceUnavailable, Otherwise: http.StatusBadGateway,
 }
 
-// failureStyle returns how failures are told to callers that name requests by a header.
+// failureStyle returns how failures are formatted if requests are identified by the given
+// header.
 func failureStyle(requestID string) failure.Style {
 	return failure.Style{
 		Statuses: statuses,
@@ -48,7 +49,7 @@
 	}
 }
 
-// respond writes a failure, or breaks off an answer that has begun.
+// respond writes a failure, or aborts a response that has begun.
 func (g *Gate) respond(c *call, err *verdict.Error) {
 	if c.reply.Started() || c.reply.Aborted() {
 		c.reply.MarkAborted()
@@ -63,14 +64,14 @@
 	c.reply.WriteFailure(status, body)
 }
 
-// limitBodyRead limits the time for the body of a request that is refused before it
-// was read: the library reads the rest of it before it answers, and a caller that
-// has fallen silent never sends it. The rest may take as long as a head.
+// limitBodyRead limits the time for the body of a request that is rejected before the body
+// was read: net/http reads the rest of the body before it responds, and a silent caller
+// never sends it. The rest may take as long as a header.
 func (g *Gate) limitBodyRead(c *call) {
 	if !c.hasBody() || c.bodyRequested {
 		return
 	}
 	_, head := g.callerTimeouts()
-	// A connection without deadlines is bounded by the request's context.
+	// A connection that does not support deadlines is bounded by the request's context.
 	_ = c.rc.SetReadDeadline(clock.Deadline(min(head, max(0, c.timeLeft(g.clk.Now())))))
 }
--- a/gate/self.go
+++ b/gate/self.go
@@ -7,13 +7,13 @@
 	"github.com/weldfall/weldfall/common/logline"
 )
 
-// minStall is how late a sweep must be for the process to have stood still.
+// minStall is how late a sweep must be for the process to count as stalled.
 const minStall clock.Millis = 500
 
-// selfCheck is what a process notices of itself.
+// selfCheck detects stalls of the process and lost log lines.
 type selfCheck struct {
 	stalls *clock.PauseDetector
-	// dropped is how many lines of the log were lost when that was last told.
+	// dropped is the number of lost log lines that were reported.
 	dropped uint64
 }
 
@@ -21,8 +21,8 @@
 	return &selfCheck{stalls: clock.NewPauseDetector(sweepPeriod+minStall, now), dropped: logline.Dropped()}
 }
 
-// check tells how long the process did not run, be it frozen or starved, and how many lines
-// of the log were lost. It is called every sweepPeriod.
+// check logs how long the process did not run, frozen or starved, and how many log lines
+// were lost. It is called every sweepPeriod.
 func (s *selfCheck) check(now clock.Millis, log *slog.Logger) {
 	if gap := s.stalls.Tick(now); gap > 0 {
 		log.Warn("stalled", "late_ms", gap-sweepPeriod)
--- a/gate/send.go
+++ b/gate/send.go
@@ -14,24 +14,24 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Limits of the attempts of one request.
+// Limits on the attempts of one request.
 const (
-	// maxUnsent is how many engines that cannot be reached are tried.
+	// maxUnsent is the maximum number of unreachable engines that are tried.
 	maxUnsent = 3
-	// maxRefused is how many engines that are full are tried.
+	// maxRefused is the maximum number of full engines that are tried.
 	maxRefused = 3
-	// maxCrashes is how many engines may end under one request: the first may have done
-	// so by chance.
+	// maxCrashes is the number of engines that may crash under one request. The first crash
+	// may be a coincidence.
 	maxCrashes = 2
-	// minTimeLeft is the time below which another attempt is of no use.
+	// minTimeLeft is the remaining time below which another attempt is useless.
 	minTimeLeft clock.Millis = 40
 )
 
-// send chooses engines until one answers or the request must be given up.
+// send tries engines until one responds or the request fails for good.
 func (g *Gate) send(ctx context.Context, c *call) *verdict.Error {
 	g.countRequest(c)
-	// held is the latest failure that an engine answered itself: it is the
-	// answer when no other engine gives a better one.
+	// held is the latest error response of an engine. It is the response to the caller if no
+	// other engine has a better one.
 	var held *attempt.Held
 	for {
 		if err := g.recheckAdmission(c); err != nil {
@@ -53,15 +53,15 @@
 			return nil
 		case attempt.CallerGone:
 			if cause := context.Cause(ctx); errors.Is(cause, errGraceOver) {
-				// A caller whose answer has not begun is told, so that it need not
-				// guess from a closed connection.
+				// A caller whose response has not begun gets an error, so that it does not
+				// have to guess the reason from a closed connection.
 				return verdict.New(c.verdict(), verdict.Leaving, "%w", cause)
 			}
 			if cause := context.Cause(ctx); errors.Is(cause, errOverdue) {
 				return verdict.New(c.verdict(), verdict.Deadline, "%w", cause)
 			}
 			c.reply.MarkAborted()
-			return verdict.New(c.verdict(), verdict.CallerGone, "the caller left")
+			return verdict.New(c.verdict(), verdict.CallerGone, "the caller closed the connection or stopped reading")
 		case attempt.Failed:
 			held = o.Answer
 			if err := g.retryOrFail(c, o, e.Info); err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// attempt sends the request to an engine and relays the answer.
+// attempt sends the request to an engine and relays the response.
 func (g *Gate) attempt(ctx context.Context, c *call, e pick) attempt.Outcome {
 	now := g.clk.Now()
 	req := g.request(c, e, now)
@@ -102,7 +102,7 @@
 	return o
 }
 
-// sendFailed judges an attempt that brought no head of an answer.
+// sendFailed returns the outcome of an attempt that got no response header.
 func (g *Gate) sendFailed(ctx context.Context, c *call, e engines.Info, err error) attempt.Outcome {
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
@@ -126,22 +126,22 @@
 	}
 }
 
-// engineRefused judges an answer that says that the request did not run.
+// engineRefused returns the outcome of a response that says that the request did not run.
 func (g *Gate) engineRefused(e engines.Info, a *upstream.Answer) attempt.Outcome {
 	discardRest(a)
 	g.finish(e.Incarnation(), engines.Refused)
 	return attempt.Refused{Err: fmt.Errorf("status %d", a.StatusCode)}
 }
 
-// misdirected judges an answer of another engine that has the address, which is no
-// sign of the one that was asked.
+// misdirected returns the outcome of a response from another engine that now has the
+// address. It says nothing about the engine that was meant.
 func (g *Gate) misdirected(e engines.Info, a *upstream.Answer) attempt.Outcome {
 	discardRest(a)
 	g.finish(e.Incarnation(), engines.Departed)
 	return attempt.Refused{Err: fmt.Errorf("status %d: another engine is at %s", a.StatusCode, e.Addr)}
 }
 
-// engineOutcome says what an attempt tells about the engine.
+// engineOutcome returns what the outcome of an attempt says about the engine.
 func engineOutcome(ctx context.Context, o attempt.Outcome) engines.Outcome {
 	switch o := o.(type) {
 	case attempt.Answered:
@@ -158,7 +158,7 @@
 	return engines.Neutral
 }
 
-// failedOrNeutral is the outcome of an attempt that failed, unless the exchange was given up.
+// failedOrNeutral returns Neutral if the exchange was cancelled, else Failed.
 func failedOrNeutral(ctx context.Context) engines.Outcome {
 	if ctx.Err() != nil {
 		return engines.Neutral
@@ -166,12 +166,12 @@
 	return engines.Failed
 }
 
-// responseTimeoutGoals is how many times its goal a repeatable request waits for the
-// first sign of an answer before another engine is asked.
+// responseTimeoutGoals is the number of times its goal that a repeatable request waits for
+// the start of a response before it is sent to another engine.
 const responseTimeoutGoals = 2
 
-// responseTimeout is how long the engine may take to begin its answer. A request
-// that may be repeated is not left with an engine that is stuck.
+// responseTimeout returns how long the engine may take to begin its response. A request
+// that may be retried does not wait for an engine that hangs.
 func (g *Gate) responseTimeout(c *call, now clock.Millis) clock.Millis {
 	left := c.timeLeft(now)
 	if c.route.Repeatable() && c.ran+1 < c.route.Attempts && c.route.Goal > 0 {
@@ -180,8 +180,7 @@
 	return left
 }
 
-// retryOrFail decides whether the request may go to another engine. An error is the
-// final answer.
+// retryOrFail returns nil if the request may be sent to another engine, or the final error.
 func (g *Gate) retryOrFail(c *call, o attempt.Outcome, e engines.Info) *verdict.Error {
 	now := g.clk.Now()
 	retryable := false
@@ -194,13 +193,13 @@
 	case attempt.Refused:
 		c.refused++
 		retryable = c.refused < maxRefused
-		final = verdict.New(c.verdict(), verdict.Overloaded, "%d engines of %s refused", c.refused, c.service)
+		final = verdict.New(c.verdict(), verdict.Overloaded, "%d engines of %s rejected the request", c.refused, c.service)
 	case attempt.Broken:
 		retryable = c.route.Repeatable() && c.ran < c.route.Attempts && c.suspect().Crashes() < maxCrashes && c.reply.CanContinue()
 		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s: %w", e.ID, o.Err)
 	case attempt.Failed:
 		retryable = c.route.Repeatable() && c.ran < c.route.Attempts
-		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s answered %d", e.ID, o.Answer.Status)
+		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s responded with status %d", e.ID, o.Answer.Status)
 	}
 	left := c.timeLeft(now)
 	granted := grantNone
@@ -212,7 +211,7 @@
 		return nil
 	}
 	if left <= 0 {
-		return verdict.New(c.verdict(), verdict.Deadline, "%d ms were not enough", now-c.start)
+		return verdict.New(c.verdict(), verdict.Deadline, "the request did not finish within %d ms", now-c.start)
 	}
 	if final.Verdict() == verdict.NotRun {
 		return final.WithRetryAfter(retrySoon)
@@ -220,7 +219,7 @@
 	return final
 }
 
-// outcomeName names an outcome for logs and counters.
+// outcomeName returns the name of an outcome in logs and counters.
 func outcomeName(o attempt.Outcome) string {
 	switch o := o.(type) {
 	case attempt.Answered:
--- a/gate/server.go
+++ b/gate/server.go
@@ -10,12 +10,12 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Bounds towards callers that hold before the operators' are known.
+// Limits on callers until those of the operators are known.
 const (
 	maxHeaderBytes = 64 << 10
-	// headerTimeout bounds the time in which a head must arrive.
+	// headerTimeout is how long a request header may take to arrive.
 	headerTimeout clock.Millis = 5000
-	// idleTimeout is how long an idle connection is kept.
+	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout clock.Millis = 60_000
 )
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// newCall returns the call of a request whose head has been read.
+// newCall returns the call for a request whose header has been read.
 func (g *Gate) newCall(w http.ResponseWriter, r *http.Request) *call {
 	now := g.clk.Now()
 	c := &call{w: w, rc: http.NewResponseController(w), r: r, start: now, giveUpAt: now + maxRequestTime}
@@ -43,8 +43,8 @@
 	return c
 }
 
-// Run serves callers on ln until ctx is done, and then until what is in
-// flight has finished or the grace is over.
+// Run serves callers on ln until ctx is done, and then until the requests in flight have
+// ended or the grace is over.
 func (g *Gate) Run(ctx context.Context, ln net.Listener) error {
 	srv := callers.New(callers.Config{
 		Handler: g, MaxHeader: maxHeaderBytes, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// callerTimeouts returns how long a caller's connection may rest, and how long
-// a head may take, by the table in force.
+// callerTimeouts returns, by the table in force, how long a caller's connection may be idle
+// and how long a request header may take.
 func (g *Gate) callerTimeouts() (idle, head clock.Millis) {
 	idle, head = idleTimeout, headerTimeout
 	if t := g.table.Load(); t != nil {
@@ -79,12 +79,12 @@
 	return idle, head
 }
 
-// sweep drops what has outlived its use.
+// sweep discards expired state and logs retries.
 func (g *Gate) sweep() {
 	g.pool.Sweep()
 	g.guard.Sweep()
 	g.logRetries()
 }
 
-// sweepPeriod is how often a process looks after itself and its connections to engines.
+// sweepPeriod is the interval of sweeps and self-checks.
 const sweepPeriod clock.Millis = 1000
--- a/gate/stay.go
+++ b/gate/stay.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// restartLag is how long after its end a stopped entry serves again: half a
-	// second to be started, a tenth to know the settings, and up to a second
-	// until the balancer asks.
+	// restartLag is how long after its end a stopped entry serves again: half a second to
+	// start, a tenth of a second to load the settings, and up to a second until the load
+	// balancer checks it.
 	restartLag clock.Millis = 1500
-	// restartSpread is over how long callers are spread that come back when an
-	// entry does, so that it is not met by all of them at once.
+	// restartSpread is the interval over which retries of callers are spread once an entry is
+	// back, so that they do not all arrive at once.
 	restartSpread clock.Millis = 500
-	// servingPerRefusing is the number of entries that serve for each that may refuse
-	// what it could still take while the balancer sends it callers. They come
-	// back to another, and often only once.
+	// servingPerRefusing is the number of serving entries for each stopping entry that may
+	// reject requests it could still finish while the load balancer sends it callers. Those
+	// callers retry at another entry, and often only once.
 	servingPerRefusing = 10
 )
 
-// admit refuses what a stopping process might have to cut off, and, if others
-// serve in its place, what would keep it from ending. What is refused has run
-// nowhere. What an answer may take follows from the events that it can have,
-// not from the longest of the answers seen: by that, stopping processes took
-// and cut 2 to 8 answers in 30 s in which all of 26 were stopped three times.
+// admit rejects requests that a stopping process might have to abort and, if other entries
+// serve in its place, requests that would keep it from ending. A rejected request has not
+// run anywhere. The maximum duration of a response follows from the number of events that
+// it can have and not from the longest response seen: with the latter, stopping processes
+// admitted and aborted 2 to 8 responses in 30 s in which each of 26 processes was stopped
+// three times.
 func (g *Gate) admit(_ context.Context, c *call) *verdict.Error {
 	g.setExpected(c)
 	if g.shutdown.started() {
@@ -42,17 +43,18 @@
 	return nil
 }
 
-// recheckAdmission refuses, before it goes to an engine, a request that has run nowhere
-// and begins too late to end in time: its body arrived slowly, or engines before
-// refused it or could not be reached. What it may take counts from now on, but
-// no longer than it is waited for.
+// recheckAdmission rejects a request that has not run anywhere and can no longer end in
+// time, before it is sent to an engine: its body arrived slowly, or the engines tried
+// before rejected it or were unreachable. The estimated duration counts from now and ends
+// at the deadline of the request at the latest.
 func (g *Gate) recheckAdmission(c *call) *verdict.Error {
 	if !g.shutdown.started() || c.mayHaveRun() {
 		return nil
 	}
 	now := g.clk.Now()
 	r := g.admissionLimit()
-	// What was taken once is done, also where another serves in its place by now.
+	// A request that was admitted is finished, also if others serve in place of this entry
+	// by now.
 	r.until = clock.Millis(g.shutdown.endsBy.Load())
 	takes := g.shutdown.estimateFor(c)
 	need := min(r.needed(takes), c.timeLeft(now))
@@ -63,7 +65,7 @@
 	return g.notAdmitted(now, need, r)
 }
 
-// checkAdmission refuses what a stopping process does not take.
+// checkAdmission rejects requests that a stopping process does not admit.
 func (g *Gate) checkAdmission(c *call) *verdict.Error {
 	r := g.admissionLimit()
 	takes := g.shutdown.estimateFor(c)
@@ -76,26 +78,26 @@
 	return nil
 }
 
-// notAdmitted is what the caller of a request is told that is not taken.
+// notAdmitted returns the error for a request that a stopping process does not admit.
 func (g *Gate) notAdmitted(now, need clock.Millis, r admissionLimit) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.Leaving, "this entry takes what ends within %d ms, the request may take %d",
+	return verdict.New(verdict.NotRun, verdict.Leaving, "this entry is stopping and admits requests that end within %d ms, this one may take %d ms",
 		max(0, r.until-now), need).WithRetryAfter(g.retryAfterShutdown(now))
 }
 
-// setExpected records what is known of the answer before it begins.
+// setExpected records what is known about the response before it begins.
 func (g *Gate) setExpected(c *call) {
 	req := duration.Request{Route: c.route, Service: c.service}
 	if s, ok := c.table.Service(c.service); ok && s.EventTokens > 0 {
 		tokens := prompt.MaxResponseTokens(c.r.Header.Get(g.wire.Tokens))
 		req.MaxEvents = (tokens + s.EventTokens - 1) / s.EventTokens
-		// Events of another size have another pace.
+		// The pace of events depends on their size.
 		req.Service += "/" + strconv.Itoa(s.EventTokens)
 	}
 	c.expected = req
 }
 
-// estimate says how long the answer to a request takes, at most until it is
-// given up.
+// estimate returns the estimated duration of the response to a request, capped at its
+// deadline.
 func (g *Gate) estimate(c *call) duration.Estimate {
 	e := g.durations.Estimate(c.expected)
 	left := c.timeLeft(c.start)
@@ -103,36 +105,36 @@
 	return e
 }
 
-// admissionLimit is what a stopping process still takes.
+// admissionLimit limits what a stopping process admits.
 type admissionLimit struct {
-	// until is when an answer must have ended.
+	// until is when a response must have ended.
 	until clock.Millis
-	// usual is true if that holds for what the answer usually takes, false if it
-	// holds for what it takes at the most.
-	usual bool
+	// typical is true if the typical duration of the response counts, false if the maximum
+	// does.
+	typical bool
 }
 
-// needed is how much of the room an answer takes.
+// needed returns the duration of a response that counts for the limit.
 func (r admissionLimit) needed(e duration.Estimate) clock.Millis {
-	if r.usual {
+	if r.typical {
 		return e.Typical
 	}
 	return e.Max
 }
 
-// admissionLimit returns what a stopping process takes: what ends before it must end
-// itself, or, if others serve in its place, before what it is doing anyway
-// does, so that it is back sooner for them.
+// admissionLimit returns what a stopping process admits: requests that end before the
+// process must end or, if other entries serve in its place, before the requests already in
+// flight end, so that it is back sooner.
 //
-// While the balancer still sends it callers, one that is not replaced goes by
-// what an answer usually takes. Callers whom it refused would meet others that
-// stop as well, where an answer that it takes then is cut with a chance of one
-// in 280 (six thousand drawn stops).
+// While the load balancer still sends it callers, an entry that is not replaced goes by the
+// typical duration. Callers that it rejected would reach other stopping entries, where a
+// response that is admitted then is aborted with a probability of one in 280 (six thousand
+// simulated stops).
 func (g *Gate) admissionLimit() admissionLimit {
 	by := clock.Millis(g.shutdown.endsBy.Load())
 	balancerSends := !g.shutdown.idleClosed.Load()
 	if !g.mayRefuse(balancerSends) {
-		return admissionLimit{until: by, usual: balancerSends}
+		return admissionLimit{until: by, typical: balancerSends}
 	}
 	until := g.shutdown.busyUntil()
 	if balancerSends {
@@ -141,28 +143,27 @@
 	return admissionLimit{until: min(by, until)}
 }
 
-// mayRefuse reports whether others serve in place of this stopping entry. A
-// caller who is refused comes back to another by chance, and often only once,
-// so of those that are stopping no more refuse than others serve, the first of
-// them at least, if another stays longer. Without word of others none does.
-// While the balancer still sends callers there are more of them, so one entry
-// refuses for each fewStopping that serve.
+// mayRefuse reports whether this stopping entry may reject requests because other entries
+// serve in its place. A rejected caller retries at a random entry, and often only once. So
+// the number of stopping entries that reject is at most the number that serve; the first to
+// stop may always reject if another one stays longer. Without reports of other entries,
+// none rejects. While the load balancer still sends callers there are more of them, so one
+// entry rejects for each servingPerRefusing that serve.
 func (g *Gate) mayRefuse(balancerSends bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f := g.fleet
-	mayRefuse := f.Serving
+	maxRefusing := f.Serving
 	if balancerSends {
-		mayRefuse = f.Serving / servingPerRefusing
+		maxRefusing = f.Serving / servingPerRefusing
 	}
-	return f.Serving+f.StoppingAfter > 0 && f.StoppingBefore < max(1, mayRefuse)
+	return f.Serving+f.StoppingAfter > 0 && f.StoppingBefore < max(1, maxRefusing)
 }
 
-// retryAfterShutdown is when a request may come back that a stopping entry refused:
-// at once if half of all entries serve, else when they are expected to. With
-// fewer the balancer uses all, so that callers who come back at once meet
-// others that are stopping: where four of four were, one in ten of all requests
-// was refused twice.
+// retryAfterShutdown returns when a request that a stopping entry rejected may be retried:
+// at once if half of all entries serve, else when half are expected to. With fewer the load
+// balancer uses all entries, so that an immediate retry reaches another stopping one: when
+// four of four entries were stopping, one in ten of all requests was rejected twice.
 func (g *Gate) retryAfterShutdown(now clock.Millis) clock.Millis {
 	g.mu.Lock()
 	f := g.fleet
@@ -175,16 +176,16 @@
 		return retryAtOnce
 	}
 	wait := back + restartLag + clock.Millis(random()*float64(restartSpread)) - now
-	// A peer that tells nonsense holds callers no longer than a stop takes.
+	// An invalid report of a peer delays callers no longer than a shutdown takes.
 	return min(max(retryAtOnce, wait), g.bounds().Grace+restartLag)
 }
 
-// logAdmission tells what a stopping process does with a request: how long it may
-// take, what that rests on, by when it must be done, and when the process ends
-// at the latest.
+// logAdmission logs what a stopping process does with a request: its estimated duration and
+// the basis of the estimate, when it must have ended, and when the process ends at the
+// latest.
 func (g *Gate) logAdmission(c *call, takes duration.Estimate, taken bool, need clock.Millis, r admissionLimit) {
 	g.counts.stopping[taken].Inc()
-	g.log.Info("stopping", "request", c.id, "route", c.route.Name, "taken", taken, "need_ms", need, "usual", r.usual,
+	g.log.Info("stopping", "request", c.id, "route", c.route.Name, "taken", taken, "need_ms", need, "usual", r.typical,
 		"basis", takes.Basis, "samples", takes.Samples, "process_age_ms", c.start-g.startedAt,
 		"room_ms", max(0, r.until-c.start), "ends_in_ms", clock.Millis(g.shutdown.endsBy.Load())-c.start)
 }
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -40,14 +40,14 @@
 	case err != nil:
 		g.guard.EndTrial(c.suspect())
 	default:
-		life := e.Incarnation().Mark()
-		g.reserve(life, g.clk.Now()+quarantine.TrialTimeout)
-		g.guard.StartTrial(c.suspect(), life, e.ID)
+		hash := e.Incarnation().Mark()
+		g.reserve(hash, g.clk.Now()+quarantine.TrialTimeout)
+		g.guard.StartTrial(c.suspect(), hash, e.ID)
 	}
 	return e, err
 }
 
-// contact returns how this entry stands with others.
+// contact returns whether this entry is in contact with others.
 func (g *Gate) contact() quarantine.Connectivity {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -60,10 +60,11 @@
 	return quarantine.Connected
 }
 
-// recordOutcome records what the end of an attempt tells of the request. An engine that ended
-// is asked for no more; which of its requests ended it others may know better.
+// recordOutcome records what the outcome of an attempt says about the request. An engine
+// that has ended gets no more requests. Other entries may know better which of its requests
+// caused the crash.
 func (g *Gate) recordOutcome(ctx context.Context, c *call, e pick, o attempt.Outcome) {
-	life := e.Incarnation().Mark()
+	hash := e.Incarnation().Mark()
 	switch o := o.(type) {
 	case attempt.Answered:
 		if o.End == framing.Complete && c.reply.Status() < http.StatusMultipleChoices {
@@ -75,37 +76,37 @@
 	}
 	if c.alone {
 		g.guard.EndTrial(c.suspect())
-		g.reserve(life, 0)
+		g.reserve(hash, 0)
 	}
 }
 
-// recordBreak records that an engine broke off an attempt, or gave no sign of it. The list
-// may have told already that it ended.
+// recordBreak records that the connection of an attempt broke or that its engine fell
+// silent. The list may already have shown that the engine ended.
 func (g *Gate) recordBreak(ctx context.Context, c *call, e pick, err error) {
-	life := e.Incarnation()
+	inc := e.Incarnation()
 	if g.engineEnded(ctx, e.Info, err) {
-		g.guard.RecordCrash(c.suspect(), life.Mark(), e.ID)
+		g.guard.RecordCrash(c.suspect(), inc.Mark(), e.ID)
 		return
 	}
 	silent := errors.Is(err, upstream.ErrSilent)
 	if ctx.Err() != nil || !(silent || upstream.BrokenOff(err)) {
 		return
 	}
-	g.guard.RecordBrokenAttempt(c.suspect(), life.Mark(), e.ID, silent)
+	g.guard.RecordBrokenAttempt(c.suspect(), inc.Mark(), e.ID, silent)
 	g.mu.Lock()
-	crashed := g.book.Crashed(life)
+	crashed := g.book.Crashed(inc)
 	g.mu.Unlock()
 	if crashed {
-		g.guard.RecordIncarnationEnd(life.Mark(), e.ID, endedByList)
+		g.guard.RecordIncarnationEnd(inc.Mark(), e.ID, endedByList)
 	}
 }
 
-// endedByList is the ground of ends of which the list of engines told: a later start, or
-// that the entry is gone.
+// endedByList is the reason of ends that the list of engines shows: an entry of a later
+// incarnation, or a missing one.
 const endedByList = "listed"
 
-// engineEnded reports whether an engine ended that broke off an exchange: a connection
-// that breaks alone says nothing of the request.
+// engineEnded reports whether the engine that broke off an exchange has ended. A broken
+// connection alone says nothing about the request.
 func (g *Gate) engineEnded(ctx context.Context, e engines.Info, err error) bool {
 	if !upstream.BrokenOff(err) || ctx.Err() != nil {
 		return false
@@ -120,7 +121,8 @@
 	return true
 }
 
-// markLost records that an engine ended. It gets nothing until it is reached again.
+// markLost records that an engine has ended. It gets no requests until it is reachable
+// again.
 func (g *Gate) markLost(n engines.Incarnation) {
 	g.mu.Lock()
 	trust := engines.Unchanged
@@ -131,20 +133,20 @@
 	g.applyTrust(n, trust, "ended")
 }
 
-// reserve keeps others from the engine of a trial until the given time.
-func (g *Gate) reserve(life uint32, until clock.Millis) {
+// reserve keeps other requests from the engine of a trial until the given time.
+func (g *Gate) reserve(hash uint32, until clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.book.Marked(life); e != nil {
+	if e := g.book.Marked(hash); e != nil {
 		e.Reserve(until)
 	}
 }
 
-// isLost reports whether this entry found that a life of an engine cannot be reached.
-func (g *Gate) isLost(life uint32) bool {
+// isLost reports whether this entry could not reach an incarnation of an engine.
+func (g *Gate) isLost(hash uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.book.Marked(life)
+	e := g.book.Marked(hash)
 	return e != nil && e.Unreached()
 }
 
--- a/gate/suspend.go
+++ b/gate/suspend.go
@@ -7,17 +7,17 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// errOverdue is why the exchange of a request ends whose time was over while the instance
+// errOverdue is the cancellation cause of requests whose deadline passed while the instance
 // was suspended.
-var errOverdue = errors.New("the request's time was over while this entry was suspended")
+var errOverdue = errors.New("the deadline of the request passed while this entry was suspended")
 
-// overdueDelay is how long after a suspension answers that had come meanwhile have to be
-// read, before what is overdue is given up.
+// overdueDelay is the time after a suspension for reading responses that arrived meanwhile,
+// before overdue requests are cancelled.
 const overdueDelay clock.Millis = 200
 
-// onSuspend takes word that the instance was onSuspend for a while. Ages count that by
-// themselves. Connections that rested may have died, and timers are late by as long, so
-// requests that are overdue are given up here.
+// onSuspend handles the end of a suspension of the instance. Ages include the gap by
+// themselves. Idle connections may be dead, and timers fire late by the gap, so overdue
+// requests are cancelled here.
 func (g *Gate) onSuspend(gap clock.Millis) {
 	g.log.Warn("suspended", "gap_ms", gap)
 	g.pool.ForgetIdle()
@@ -27,8 +27,8 @@
 	}
 }
 
-// abortOverdue ends the exchanges of what runs and should have been given up, and returns
-// how many there are.
+// abortOverdue cancels the exchanges of calls in flight whose deadline has passed and
+// returns their number.
 func (l *shutdown) abortOverdue(now clock.Millis) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,7 +40,7 @@
 		n++
 		c.cancel(errOverdue)
 		if c.readingBody.Load() {
-			// A connection without deadlines is bounded by the request's context.
+			// A connection that does not support deadlines is bounded by the request's context.
 			_ = c.rc.SetReadDeadline(clock.Deadline(0))
 		}
 	}
