--- a/entry/send.go
+++ b/entry/send.go
@@ -101,10 +101,10 @@
 	clk *clock.Clock
 }
 
-// WriteFrames implements offer.Answer.
+// WriteFrames implements offer.ResponseWriter.
 func (a answer) WriteFrames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
 
-// Started implements offer.Answer.
+// Started implements offer.ResponseWriter.
 func (a answer) Started() bool { return a.c.headSent }
 
 // isFault tells refusals that retries could multiply from the ordinary steps
--- a/gate/list.go
+++ b/gate/list.go
@@ -73,7 +73,7 @@
 // MarkEngineMissing records that an engine is missing from the list and may come back.
 func (g *Gate) MarkEngineMissing(id string) {
 	g.mu.Lock()
-	changed := g.book.SilenceTimeout(id)
+	changed := g.book.MarkMissing(id)
 	g.mu.Unlock()
 	if changed {
 		g.log.Info("engine", "change", string(engines.Missing), "engine", id, "cause", "missing from the list after the store was unavailable")
@@ -83,7 +83,7 @@
 // MarkEngineUnreadable records that the entry of an engine is invalid.
 func (g *Gate) MarkEngineUnreadable(id, cause string) {
 	g.mu.Lock()
-	changed := g.book.MarkInvalid(id)
+	changed := g.book.MarkUnreadable(id)
 	g.mu.Unlock()
 	if changed {
 		g.log.Warn("engine", "change", string(engines.Unreadable), "engine", id, "cause", cause)
