--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -13,33 +13,33 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// tickLoop notices pauses of this process and looks after what ends by time.
+// tickLoop detects pauses of this process and removes expired instances from the view.
 func (n *Node) tickLoop(ctx context.Context) {
 	detector := clock.NewPauseDetector(PauseLimit, n.clk.Now())
 	clock.Every(ctx, tickPeriod, func() {
 		now := n.clk.Now()
 		if gap := detector.Tick(now); gap > 0 {
-			n.wokeUp(gap)
+			n.handlePause(gap)
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.view.Prune(forgetAfter, now)
+		n.view.Prune(goneRetention, now)
 	})
 }
 
-// forgetAfter is longer than the longest window of a key.
-const forgetAfter clock.Millis = 90_000_000
+// goneRetention is how long instances that are gone stay in the view. It is longer than
+// the longest window of a key.
+const goneRetention clock.Millis = 90_000_000
 
-// wokeUp distrusts what this process knew before a pause and renews it before
-// it serves again.
-func (n *Node) wokeUp(gap clock.Millis) {
+// handlePause marks the node as not ready after a pause, until its data has been renewed.
+func (n *Node) handlePause(gap clock.Millis) {
 	metrics.GetOrCreateCounter("weldfall_pauses_total").Inc()
 	n.cfg.Log.Warn("pause_noticed", "gap_ms", int64(gap))
 	n.mu.Lock()
 	n.view.ResetExchanges()
-	n.caughtUp, n.readOK, n.renewing = false, false, true
-	clear(n.heardPeers)
-	n.startAt = n.clk.Now()
+	n.caughtUp, n.platformRead, n.renewing = false, false, true
+	clear(n.answeredPeers)
+	n.startedAt = n.clk.Now()
 	n.ready.Store(false)
 	n.mu.Unlock()
 	select {
@@ -68,8 +68,8 @@
 	}
 }
 
-// peer picks a random peer, or a bootstrap address while the list is unknown.
-func (n *Node) peer() (id, addr string, listed int) {
+// randomPeer returns a random peer, or a bootstrap address while the list is empty.
+func (n *Node) randomPeer() (id, addr string, listed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	peers := n.view.Peers()
@@ -85,9 +85,9 @@
 }
 
 func (n *Node) exchange(ctx context.Context) {
-	id, addr, listed := n.peer()
+	id, addr, listed := n.randomPeer()
 	if addr == "" {
-		n.settleReady(0)
+		n.updateReady(0)
 		return
 	}
 	n.mu.Lock()
@@ -105,14 +105,14 @@
 		n.mu.Unlock()
 		metrics.GetOrCreateCounter("weldfall_exchange_failed_total").Inc()
 		n.cfg.Log.Debug("exchange_failed", "peer", id, "error", err)
-		n.settleReady(listed)
+		n.updateReady(listed)
 		return
 	}
-	news := n.learn(res.Items)
+	newItems := n.applyItems(res.Items)
 	n.store.ApplyAnswer(wire.Exchanged{Upto: res.Upto, PlatformAge: res.PlatformAge}, n.clk.Now())
-	leaving := n.learnLeaving(res.Leaving)
-	n.sample(res.Loads)
-	n.heardPeers[id] = true
+	leaving := n.markLeaving(res.Leaving)
+	n.observeLoads(res.Loads)
+	n.answeredPeers[id] = true
 	n.caughtUp = n.upToDate(res.Revs)
 	n.listComplete = n.store.Upto(wire.TopicInstances) >= res.Revs[wire.TopicInstances]
 	if rev, ok := res.Revs[wire.TopicBranches]; ok {
@@ -120,17 +120,17 @@
 	}
 	n.mu.Unlock()
 	metrics.GetOrCreateCounter("weldfall_exchange_total").Inc()
-	if len(news) > handOnAtMost {
-		// This process is catching up; the others have had these for long.
-		news = nil
+	if len(newItems) > maxForwarded {
+		// This process is catching up; others already have these items.
+		newItems = nil
 	}
-	n.push(news, leaving)
-	n.settleReady(listed)
+	n.push(newItems, leaving)
+	n.updateReady(listed)
 }
 
-// upToDate reports whether this process has all that the peer had of the
-// topics that decisions need at once; the caller holds mu. A daemon can decide
-// before it has the whole list, which takes minutes for a large fleet.
+// upToDate reports whether this process has all that the peer has of the topics that its
+// decisions need. A daemon can decide before it has the whole list, which takes minutes
+// for a large fleet. The caller holds mu.
 func (n *Node) upToDate(revs map[wire.Topic]int64) bool {
 	needed := []wire.Topic{wire.TopicCore}
 	if n.cfg.Role == member.Entry {
@@ -144,48 +144,49 @@
 	return true
 }
 
-// handOnAtMost is how many items that came with an exchange are handed on.
-const handOnAtMost = 3
+// maxForwarded is the largest number of items from one exchange that are pushed on.
+const maxForwarded = 3
 
-// startPatience is how long a starting process waits to hear from both the
-// platform and its peers before it makes do with one of them.
-const startPatience clock.Millis = 3000
+// startTimeout is how long a starting process waits for both the platform and its peers
+// before it serves with one of them.
+const startTimeout clock.Millis = 3000
 
-// freshEnough is the age of the platform's latest word to anybody at which
-// peers alone are believed: a watch answers after watchWait at the latest.
-const freshEnough = watchWait + 2000
+// maxStartPlatformAge is the age of the platform's latest answer to any process below
+// which the data of peers alone is enough. The platform answers a long poll after
+// longPollWait at the latest.
+const maxStartPlatformAge = longPollWait + 2000
 
-// settleReady decides whether the node knows enough to serve.
-func (n *Node) settleReady(listed int) {
+// updateReady marks the node as ready if it knows enough to serve.
+func (n *Node) updateReady(listed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ready.Load() {
 		return
 	}
-	enoughPeers := n.caughtUp && len(n.heardPeers) >= min(startPeers, max(1, listed))
+	enoughPeers := n.caughtUp && len(n.answeredPeers) >= min(minStartPeers, max(1, listed))
 	alone := listed == 0 && len(n.cfg.Bootstrap) == 0
-	waited := n.clk.Now()-n.startAt > startPatience
-	fresh := n.store.PlatformAge(n.clk.Now()) < freshEnough
-	if (n.readOK && (enoughPeers || alone || waited)) || (enoughPeers && (waited || n.renewing || fresh)) {
+	waited := n.clk.Now()-n.startedAt > startTimeout
+	fresh := n.store.PlatformAge(n.clk.Now()) < maxStartPlatformAge
+	if (n.platformRead && (enoughPeers || alone || waited)) || (enoughPeers && (waited || n.renewing || fresh)) {
 		n.ready.Store(true)
-		n.cfg.Log.Info("ready", "from_platform", n.readOK, "peers_heard", len(n.heardPeers))
+		n.cfg.Log.Info("ready", "from_platform", n.platformRead, "peers_heard", len(n.answeredPeers))
 	}
 }
 
-func (n *Node) answer(e wire.Exchange) wire.Exchanged {
+func (n *Node) answerExchange(e wire.Exchange) wire.Exchanged {
 	n.mu.Lock()
 	res := n.store.Answer(e, n.clk.Now())
 	res.Loads = n.loadSample()
 	res.Leaving = n.view.LeavingIDs()
-	n.sample(e.Loads)
-	leaving := n.learnLeaving(e.Leaving)
+	n.observeLoads(e.Loads)
+	leaving := n.markLeaving(e.Leaving)
 	n.mu.Unlock()
 	n.push(nil, leaving)
 	return res
 }
 
-// loadSample returns the own engines' loads and the freshest others known; the
-// caller holds mu.
+// loadSample returns loads of this process's own engines and the freshest loads known of
+// others. The caller holds mu.
 func (n *Node) loadSample() []wire.Load {
 	var out []wire.Load
 	if n.cfg.Loads != nil {
@@ -210,9 +211,9 @@
 	return c.Call(ctx, method, params, result)
 }
 
-// push hands news on to a few random peers at once.
-func (n *Node) push(news []wire.Item, leaving []string) {
-	if len(news) == 0 && len(leaving) == 0 {
+// push sends new items and leaving instances to a few random peers.
+func (n *Node) push(newItems []wire.Item, leaving []string) {
+	if len(newItems) == 0 && len(leaving) == 0 {
 		return
 	}
 	n.mu.Lock()
@@ -221,24 +222,24 @@
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	sent := 0
 	for _, p := range peers {
-		items := itemsFor(p.Role, news)
+		items := itemsFor(p.Role, newItems)
 		if len(items) == 0 && len(leaving) == 0 {
 			continue
 		}
 		if sent++; sent > pushFanout {
 			return
 		}
-		go n.notify(p.Addr, wire.Push{From: n.cfg.ID, Items: items, Leaving: leaving})
+		go n.sendPush(p.Addr, wire.Push{From: n.cfg.ID, Items: items, Leaving: leaving})
 	}
 }
 
-// pushBytes bounds the items of one push; the rest comes by exchange.
+// pushBytes limits the items in one push; the rest arrives by exchange.
 const pushBytes = 8000
 
-func itemsFor(role member.Role, news []wire.Item) []wire.Item {
+func itemsFor(role member.Role, newItems []wire.Item) []wire.Item {
 	var out []wire.Item
 	used := 0
-	for _, it := range news {
+	for _, it := range newItems {
 		if it.Topic == wire.TopicBranches && role != member.Entry {
 			continue
 		}
@@ -250,7 +251,7 @@
 	return out
 }
 
-func (n *Node) notify(addr string, p wire.Push) {
+func (n *Node) sendPush(addr string, p wire.Push) {
 	c, err := n.cfg.Pool.Get(addr, link.Control)
 	if err != nil {
 		return
@@ -258,25 +259,25 @@
 	_ = c.Notify(wire.MethodPush, p)
 }
 
-// AnnounceLeaving tells all entries and a few other peers that this instance
-// leaves.
+// AnnounceLeaving tells all entries and a few other peers that this instance is leaving,
+// and marks the node as not ready.
 func (n *Node) AnnounceLeaving() {
 	n.mu.Lock()
 	n.view.MarkLeaving(n.cfg.ID)
 	peers := n.view.Peers()
-	n.viewChanged()
+	n.invalidateTargets()
 	n.mu.Unlock()
 	n.ready.Store(false)
 	for _, p := range peers {
 		if p.Role == member.Entry {
-			go n.notify(p.Addr, wire.Push{From: n.cfg.ID, Leaving: []string{n.cfg.ID}})
+			go n.sendPush(p.Addr, wire.Push{From: n.cfg.ID, Leaving: []string{n.cfg.ID}})
 		}
 	}
 	n.push(nil, []string{n.cfg.ID})
 }
 
-// fetch asks two peers for one branch that this process does not have yet.
-func (n *Node) fetch(ctx context.Context, path string) {
+// fetchBranch requests a missing branch from up to two entries.
+func (n *Node) fetchBranch(ctx context.Context, path string) {
 	n.mu.Lock()
 	peers := n.view.Peers()
 	n.mu.Unlock()
@@ -285,7 +286,7 @@
 	defer cancel()
 	answered := 0
 	for _, p := range peers {
-		if p.Role != member.Entry || answered == startPeers {
+		if p.Role != member.Entry || answered == minStartPeers {
 			continue
 		}
 		var res wire.Fetched
@@ -294,7 +295,7 @@
 		}
 		answered++
 		n.mu.Lock()
-		n.learn(res.Items)
+		n.applyItems(res.Items)
 		n.mu.Unlock()
 	}
 }
--- a/fleet/handle.go
+++ b/fleet/handle.go
@@ -10,8 +10,8 @@
 	"github.com/weldfall/weldfall/settings"
 )
 
-// Handle answers the control messages that every process takes. It reports
-// false for other methods.
+// Handle answers the control calls that every process accepts. It returns false for other
+// methods.
 func (n *Node) Handle(method string, params json.RawMessage) (any, bool, error) {
 	switch method {
 	case wire.MethodExchange:
@@ -19,7 +19,7 @@
 		if err != nil {
 			return nil, true, err
 		}
-		return n.answer(e), true, nil
+		return n.answerExchange(e), true, nil
 	case wire.MethodFetch:
 		f, err := wire.Decode[wire.Fetch](method, params)
 		if err != nil {
@@ -30,7 +30,8 @@
 	return nil, false, nil
 }
 
-// HandleNotify takes the control notifications that every process takes.
+// HandleNotify handles the control notifications that every process accepts, and ignores
+// others.
 func (n *Node) HandleNotify(method string, params json.RawMessage) {
 	if method != wire.MethodPush {
 		return
@@ -40,44 +41,46 @@
 		return
 	}
 	n.mu.Lock()
-	news := n.learn(p.Items)
-	leaving := n.learnLeaving(p.Leaving)
+	newItems := n.applyItems(p.Items)
+	leaving := n.markLeaving(p.Leaving)
 	n.mu.Unlock()
-	n.push(news, leaving)
+	n.push(newItems, leaving)
 }
 
-// learn applies items; the caller holds mu.
-func (n *Node) learn(items []wire.Item) []wire.Item {
-	news := n.store.Add(items)
-	for i, it := range news {
+// applyItems applies items and returns those that were new. The caller holds mu.
+func (n *Node) applyItems(items []wire.Item) []wire.Item {
+	newItems := n.store.Add(items)
+	for i, it := range newItems {
 		if it.Topic == wire.TopicInstances {
 			n.applyInstance(it)
 			continue
 		}
 		n.applySetting(it)
 		if kept, ok := n.store.Get(it.Topic, it.Key); ok && kept.Rev == it.Rev {
-			news[i].LastGood, news[i].LastGoodRev = kept.LastGood, kept.LastGoodRev
+			newItems[i].LastGood, newItems[i].LastGoodRev = kept.LastGood, kept.LastGoodRev
 		}
 	}
-	return news
+	return newItems
 }
 
-func (n *Node) learnLeaving(ids []string) []string {
-	var news []string
+// markLeaving marks instances as leaving and returns those that were not known to be. The
+// caller holds mu.
+func (n *Node) markLeaving(ids []string) []string {
+	var added []string
 	for _, id := range ids {
 		if n.view.MarkLeaving(id) {
-			news = append(news, id)
+			added = append(added, id)
 		}
 	}
-	if len(news) > 0 {
-		n.viewChanged()
+	if len(added) > 0 {
+		n.invalidateTargets()
 	}
-	return news
+	return added
 }
 
 func (n *Node) applyInstance(it wire.Item) {
 	now := n.clk.Now()
-	defer n.viewChanged()
+	defer n.invalidateTargets()
 	if it.Gone {
 		n.view.SetUnlisted(it.Key, now)
 		n.loads.Forget(n.listedEngines())
@@ -93,7 +96,8 @@
 	n.cfg.Log.Debug("instance_listed", "instance", in.ID, "state", in.State, "revision", it.Rev)
 }
 
-// listedEngines returns whether an engine is on the list; the caller holds mu.
+// listedEngines returns a function that reports whether an engine is on the list. The
+// caller holds mu.
 func (n *Node) listedEngines() func(string) bool {
 	listed := map[string]bool{}
 	for _, in := range n.view.Instances() {
@@ -110,8 +114,8 @@
 		return
 	}
 	if it.LastGood != "" {
-		// A process that missed the last good value before a bad one, or
-		// started after it, still puts it in force.
+		// A process that missed the last valid value before an invalid one, or started
+		// after it, still puts it in force.
 		if err := n.tree.ApplyGood(it.Key, it.LastGood, it.LastGoodRev); err != nil {
 			n.cfg.Log.Warn("settings_invalid", "path", it.Key, "revision", it.LastGoodRev, "error", err)
 		}
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -1,6 +1,6 @@
-// Package member is a process's view of the fleet: who is live, leaving or
-// gone by the platform's list, by the instances' own word and by what this
-// process observes. It is pure: news and the time are handed in.
+// Package member holds a process's view of the fleet: which instances are live, leaving
+// or gone according to the platform's list, to the instances themselves and to what this
+// process observes. It does no I/O; callers pass in events and times.
 package member
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Role is what an instance does.
+// Role is the kind of an instance.
 type Role string
 
 const (
@@ -20,7 +20,7 @@
 	Daemon Role = "daemon"
 )
 
-// State is where an instance is in its life.
+// State is the lifecycle state of an instance.
 type State string
 
 const (
@@ -29,13 +29,13 @@
 	Gone    State = "gone"
 )
 
-// EngineInfo is an engine as the list gives it.
+// EngineInfo is an engine in the list of instances.
 type EngineInfo struct {
 	ID    string `json:"id"`
 	Slots int    `json:"slots"`
 }
 
-// Instance is one process of the system, as the platform lists it.
+// Instance is one process of the system in the platform's list.
 type Instance struct {
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
@@ -47,7 +47,8 @@
 	State   State        `json:"state"`
 }
 
-// Decode reads an instance from the list.
+// Decode decodes an instance of the list. It fails if the value is malformed or holds
+// another ID.
 func Decode(id, value string) (Instance, error) {
 	var in Instance
 	if err := json.Unmarshal([]byte(value), &in); err != nil {
@@ -59,86 +60,86 @@
 	return in, nil
 }
 
-// Flap damping: an instance that comes back again and again is held off, for
-// twice as long each time, so that its chats do not move with each flap.
+// Flap damping: an instance that keeps coming back is held, for twice as long each time,
+// so that its chats do not move with each flap.
 const (
-	holdBase   clock.Millis = 2000
-	holdMax    clock.Millis = 60_000
-	flapMemory clock.Millis = 300_000
+	minHold    clock.Millis = 2000
+	maxHold    clock.Millis = 60_000
+	flapWindow clock.Millis = 300_000
 )
 
-// known is what the view holds of one instance.
-type known struct {
+// instanceState is what the view knows of one instance.
+type instanceState struct {
 	in Instance
-	// listed is false once the list has dropped the instance.
+	// listed is false once the platform's list has dropped the instance.
 	listed bool
-	// selfLeaving is true once the instance itself said that it leaves.
+	// selfLeaving is true once the instance itself reported that it is leaving.
 	selfLeaving bool
 	goneAt      clock.Millis
 	flaps       int
 	lastFlap    clock.Millis
 	heldUntil   clock.Millis
-	// downUntil is when an unreachable instance may be tried again.
-	downUntil clock.Millis
-	failures  int
+	// retryAt is when an unreachable instance may be tried again.
+	retryAt  clock.Millis
+	failures int
 }
 
-// View is one process's picture of the fleet. It is not safe for concurrent
-// use.
+// View is one process's view of the fleet. It is not safe for concurrent use.
 type View struct {
-	self  string
-	byID  map[string]*known
-	since clock.Millis
-	// contacts are the outcomes of the latest exchanges, as a ring.
-	contacts []bool
-	next     int
+	self      string
+	byID      map[string]*instanceState
+	createdAt clock.Millis
+	// exchanges are the outcomes of the latest exchanges, as a ring.
+	exchanges    []bool
+	nextExchange int
 }
 
-// contactMemory is how many exchanges the majority is judged by.
-const contactMemory = 16
+// exchangeWindow is how many exchanges MajorityReachable considers.
+const exchangeWindow = 16
 
-// NewView returns the view of instance self, empty at now.
+// NewView returns the empty view of the instance self.
 func NewView(self string, now clock.Millis) *View {
-	return &View{self: self, byID: map[string]*known{}, since: now}
+	return &View{self: self, byID: map[string]*instanceState{}, createdAt: now}
 }
 
-func (v *View) get(id string) *known {
+func (v *View) getOrCreate(id string) *instanceState {
 	k := v.byID[id]
 	if k == nil {
-		k = &known{}
+		k = &instanceState{}
 		v.byID[id] = k
 	}
 	return k
 }
 
-// SetListed takes an instance from the platform's list.
+// SetListed adds or updates an instance of the platform's list.
 func (v *View) SetListed(in Instance, now clock.Millis) {
-	k := v.get(in.ID)
+	k := v.getOrCreate(in.ID)
 	returned := !k.listed && k.goneAt > 0
 	if returned {
-		if now-k.lastFlap > flapMemory {
+		if now-k.lastFlap > flapWindow {
 			k.flaps = 0
 		}
 		k.flaps++
 		k.lastFlap = now
 		if k.flaps > 1 {
-			k.heldUntil = now + min(holdMax, holdBase<<min(k.flaps-2, 10))
+			k.heldUntil = now + min(maxHold, minHold<<min(k.flaps-2, 10))
 		}
 	}
 	if returned || in.Addr != k.in.Addr {
-		k.selfLeaving, k.failures, k.downUntil = false, 0, 0
+		k.selfLeaving, k.failures, k.retryAt = false, 0, 0
 	}
 	k.in, k.listed = in, true
 }
 
-// SetUnlisted takes the news that the list no longer has an instance.
+// SetUnlisted records that the platform's list dropped an instance.
 func (v *View) SetUnlisted(id string, now clock.Millis) {
-	k := v.get(id)
+	k := v.getOrCreate(id)
 	k.in.ID = id
 	k.listed, k.goneAt = false, max(1, now)
 }
 
-// MarkLeaving takes an instance's own word that it leaves.
+// MarkLeaving records that an instance reported that it is leaving. It returns false if
+// that was known or the instance is not listed.
 func (v *View) MarkLeaving(id string) bool {
 	k, ok := v.byID[id]
 	if !ok || k.selfLeaving || !k.listed {
@@ -148,7 +149,8 @@
 	return true
 }
 
-// LeavingIDs lists instances that are leaving by their own word.
+// LeavingIDs returns the sorted IDs of the listed instances that reported that they are
+// leaving.
 func (v *View) LeavingIDs() []string {
 	var out []string
 	for id, k := range v.byID {
@@ -160,57 +162,56 @@
 	return out
 }
 
-// Back-off of an instance that this process cannot reach.
+// Backoff of an instance that this process cannot reach.
 const (
-	downBase clock.Millis = 250
-	downMax  clock.Millis = 5000
+	minBackoff clock.Millis = 250
+	maxBackoff clock.Millis = 5000
 )
 
-// MarkUnreachable records that this process failed to reach the instance.
+// MarkUnreachable records that a call from this process to the instance failed.
 func (v *View) MarkUnreachable(id string, now clock.Millis) {
 	k, ok := v.byID[id]
 	if !ok {
 		return
 	}
-	k.downUntil = now + min(downMax, downBase<<min(k.failures, 8))
+	k.retryAt = now + min(maxBackoff, minBackoff<<min(k.failures, 8))
 	k.failures++
 }
 
-// MarkReached records that this process heard from the instance.
+// MarkReached records that the instance answered this process.
 func (v *View) MarkReached(id string) {
 	if k, ok := v.byID[id]; ok {
-		k.failures, k.downUntil = 0, 0
+		k.failures, k.retryAt = 0, 0
 	}
 }
 
 // RecordExchange records whether an exchange with a random peer succeeded.
 func (v *View) RecordExchange(ok bool) {
-	if len(v.contacts) < contactMemory {
-		v.contacts = append(v.contacts, ok)
+	if len(v.exchanges) < exchangeWindow {
+		v.exchanges = append(v.exchanges, ok)
 		return
 	}
-	v.contacts[v.next] = ok
-	v.next = (v.next + 1) % contactMemory
+	v.exchanges[v.nextExchange] = ok
+	v.nextExchange = (v.nextExchange + 1) % exchangeWindow
 }
 
-// ResetExchanges forgets the contacts, after a pause: what this process knew may be
-// out of date.
-func (v *View) ResetExchanges() { v.contacts, v.next = v.contacts[:0], 0 }
+// ResetExchanges drops the recorded exchanges, which may be out of date after a pause.
+func (v *View) ResetExchanges() { v.exchanges, v.nextExchange = v.exchanges[:0], 0 }
 
-// MajorityReachable reports whether more than half of the latest exchanges with
-// random peers succeeded. A process without it may be cut off with the
-// smaller part of the fleet. One that has no peers is never cut off.
+// MajorityReachable reports whether more than half of the latest exchanges with random
+// peers succeeded. Otherwise this process may be cut off with the smaller part of the
+// fleet. A process without peers is never cut off.
 func (v *View) MajorityReachable() bool {
 	if len(v.Peers()) == 0 {
 		return true
 	}
 	good := 0
-	for _, ok := range v.contacts {
+	for _, ok := range v.exchanges {
 		if ok {
 			good++
 		}
 	}
-	return 2*good > len(v.contacts)
+	return 2*good > len(v.exchanges)
 }
 
 // State returns the state of an instance in this view.
@@ -226,7 +227,7 @@
 	}
 }
 
-// Instance returns what is known of an instance.
+// Instance returns an instance of the list, or false if it is not listed.
 func (v *View) Instance(id string) (Instance, bool) {
 	k, ok := v.byID[id]
 	if !ok || !k.listed {
@@ -235,7 +236,7 @@
 	return k.in, true
 }
 
-// Instances returns the instances on the list, sorted by id.
+// Instances returns the instances of the list, sorted by ID.
 func (v *View) Instances() []Instance {
 	out := make([]Instance, 0, len(v.byID))
 	for _, k := range v.byID {
@@ -247,23 +248,22 @@
 	return out
 }
 
-// Peers returns the other instances on the list that do not leave, sorted.
+// Peers returns the other instances of the list that are not leaving, sorted by ID.
 func (v *View) Peers() []Instance {
 	return slices.DeleteFunc(v.Instances(), func(in Instance) bool {
 		return in.ID == v.self || v.State(in.ID) == Leaving
 	})
 }
 
-// Usable reports whether new work may go to the instance now: it is live, not
-// held off for flapping, and not just found unreachable.
+// Usable reports whether new work may go to the instance now: it is live, not held for
+// flapping and not backed off as unreachable.
 func (v *View) Usable(id string, now clock.Millis) bool {
 	k, ok := v.byID[id]
-	return ok && v.State(id) == Live && now >= k.heldUntil && now >= k.downUntil
+	return ok && v.State(id) == Live && now >= k.heldUntil && now >= k.retryAt
 }
 
-// Candidates returns the daemons of a pool that new work may go to. When all are
-// held off or unreachable, the live ones are returned, since trying is better
-// than refusing.
+// Candidates returns the daemons of a pool that may get new work. If all are held or
+// unreachable, it returns the live ones, since trying is better than refusing.
 func (v *View) Candidates(pool string, now clock.Millis) []Instance {
 	var usable, live []Instance
 	for _, in := range v.Instances() {
@@ -281,12 +281,12 @@
 	return usable
 }
 
-// GoneWithin lists the daemons that left within the window. A view younger
-// than the window counts every instance it knows as gone.
+// GoneWithin returns the sorted IDs of the instances that left within the window. A view
+// younger than the window counts every unlisted instance as gone.
 func (v *View) GoneWithin(window, now clock.Millis) []string {
 	var out []string
 	for id, k := range v.byID {
-		if !k.listed && (now-k.goneAt < window || now-v.since < window) {
+		if !k.listed && (now-k.goneAt < window || now-v.createdAt < window) {
 			out = append(out, id)
 		}
 	}
@@ -294,10 +294,10 @@
 	return out
 }
 
-// Prune drops instances that have been gone for longer than any window.
+// Prune removes instances that have been gone for longer than the window.
 func (v *View) Prune(window, now clock.Millis) {
 	for id, k := range v.byID {
-		if !k.listed && now-k.goneAt > window && now-k.lastFlap > flapMemory {
+		if !k.listed && now-k.goneAt > window && now-k.lastFlap > flapWindow {
 			delete(v.byID, id)
 		}
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -1,6 +1,6 @@
-// Package fleet is what every process of the system has in common: it keeps
-// the settings, the list of instances and the loads up to date by reading the
-// platform or by talking with peers, and it notices its own pauses.
+// Package fleet is the part that all processes of the system share. A Node keeps the
+// settings, the list of instances and the loads up to date by reading the platform or by
+// exchanging messages with peers, and it detects pauses of its own process.
 package fleet
 
 import (
@@ -27,28 +27,28 @@
 const (
 	// ExchangePeriod is the time between two exchanges with random peers.
 	ExchangePeriod clock.Millis = 1000
-	// tickPeriod is how often the process looks at its own clock.
+	// tickPeriod is how often the process checks for pauses.
 	tickPeriod clock.Millis = 200
 	// PauseLimit is the gap between ticks that counts as a pause.
 	PauseLimit clock.Millis = 1500
-	// pushFanout is how many peers a new item is handed to at once.
+	// pushFanout is how many peers a new item is pushed to.
 	pushFanout = 3
-	// callTimeout bounds a control call.
+	// callTimeout limits a control call.
 	callTimeout clock.Millis = 1500
-	// loadsPerExchange bounds the load reports in one message.
+	// loadsPerExchange limits the load reports in one message.
 	loadsPerExchange = 8
-	// fetchesPerSecond bounds the single branches that are asked of peers.
+	// fetchesPerSecond limits the requests for single branches to peers.
 	fetchesPerSecond = 20
-	// startPeers is how many peers a starting process hears before it serves.
-	startPeers = 2
+	// minStartPeers is how many peers must answer a starting process before it serves.
+	minStartPeers = 2
 )
 
-// Config sets up a Node.
+// Config configures a Node.
 type Config struct {
 	ID   string
 	Role member.Role
 	Hall string
-	// Bootstrap has addresses of peers to ask before the list is known.
+	// Bootstrap holds addresses of peers to call before the list of instances is known.
 	Bootstrap []string
 	Platform  *source.Client
 	Clock     *clock.Clock
@@ -56,12 +56,11 @@
 	Pool      *link.Pool
 	// Loads returns the loads of this process's own engines.
 	Loads func() []wire.Load
-	// ChunkBytes bounds the items in one answer to a peer, in bytes.
+	// ChunkBytes limits the items in one answer to a peer, in bytes.
 	ChunkBytes int
 }
 
-// Node is the shared part of a process. Its methods may be called by several
-// goroutines.
+// Node is the shared part of a process. It is safe for concurrent use.
 type Node struct {
 	cfg Config
 	clk *clock.Clock
@@ -73,26 +72,25 @@
 	loads *route.Loads
 	// targets caches the targets of each pool until the view changes.
 	targets map[string]*poolTargets
-	// heardPeers counts distinct peers that answered since the start.
-	heardPeers map[string]bool
-	caughtUp   bool
-	// listComplete is true once a peer had nothing newer of the list.
+	// answeredPeers holds the peers that answered since the start or the latest pause.
+	answeredPeers map[string]bool
+	caughtUp      bool
+	// listComplete is true once a peer had nothing newer in the list of instances.
 	listComplete bool
-	// branchesComplete is true once a peer had no branch that is not here.
+	// branchesComplete is true once a peer had no branch that is missing here.
 	branchesComplete bool
 	fetchLimit       *rate.Limiter
-	readOK           bool
-	// renewing is true after a pause: what is here is old, but not missing.
+	platformRead     bool
+	// renewing is true after a pause: the local data is old but complete.
 	renewing bool
 
-	ready   atomic.Bool
-	startAt clock.Millis
-	wakeup  chan struct{}
+	ready     atomic.Bool
+	startedAt clock.Millis
+	wakeup    chan struct{}
 }
 
-// TopicsOf returns the topics that a role holds: a daemon is told with each
-// request what it must know of a workspace, so it holds no branches below the
-// partners'.
+// TopicsOf returns the topics that a role holds. A request carries what a daemon must
+// know of the workspace, so daemons hold no branches below those of the partners.
 func TopicsOf(role member.Role) []wire.Topic {
 	if role == member.Entry {
 		return wire.Topics
@@ -100,17 +98,17 @@
 	return []wire.Topic{wire.TopicCore, wire.TopicInstances}
 }
 
-// New returns a node that knows nothing yet.
+// New returns a node without any data.
 func New(cfg Config) *Node {
 	if cfg.ChunkBytes == 0 {
 		cfg.ChunkBytes = spread.DefaultChunkBytes
 	}
 	now := cfg.Clock.Now()
 	return &Node{
-		cfg: cfg, clk: cfg.Clock, startAt: now,
+		cfg: cfg, clk: cfg.Clock, startedAt: now,
 		store: spread.NewStore(TopicsOf(cfg.Role), cfg.ChunkBytes), tree: settings.NewTree(),
 		view: member.NewView(cfg.ID, now), loads: route.NewLoads(), targets: map[string]*poolTargets{},
-		heardPeers: map[string]bool{}, fetchLimit: rate.NewLimiter(fetchesPerSecond, fetchesPerSecond), wakeup: make(chan struct{}, 1),
+		answeredPeers: map[string]bool{}, fetchLimit: rate.NewLimiter(fetchesPerSecond, fetchesPerSecond), wakeup: make(chan struct{}, 1),
 	}
 }
 
@@ -123,8 +121,8 @@
 	wg.Wait()
 }
 
-// Ready reports whether the node knows enough to serve: it has heard the
-// platform or has what its peers have.
+// Ready reports whether the node knows enough to serve: it has read the platform or has
+// what its peers have.
 func (n *Node) Ready() bool { return n.ready.Load() }
 
 // Effective returns the settings in force at path.
@@ -134,8 +132,8 @@
 	return n.tree.Effective(path)
 }
 
-// Authenticate returns the workspace of a bearer key. If its branch is not
-// known yet, it is asked of peers first.
+// Authenticate returns the workspace of a bearer key. If its branch is not known yet, it
+// is fetched from peers first.
 func (n *Node) Authenticate(ctx context.Context, key string) (string, error) {
 	path, err := settings.WorkspaceOfKey(key)
 	if err != nil {
@@ -145,7 +143,7 @@
 	known := n.tree.Has(path) || n.branchesComplete
 	n.mu.Unlock()
 	if !known && n.fetchLimit.Allow() {
-		n.fetch(ctx, path)
+		n.fetchBranch(ctx, path)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -173,9 +171,9 @@
 	return n.store.Revs()
 }
 
-// Witnesses returns the daemons to ask for a promise on key, how many of the
-// key's witnesses were replaced within the window, and whether this process
-// may be cut off from most of the fleet.
+// Witnesses returns the daemons that must grant a claim on key, how many of the key's
+// witnesses were replaced within the window, and whether this process may be cut off from
+// most of the fleet.
 func (n *Node) Witnesses(key uint64, window clock.Millis) (ws []once.Daemon, gone int, cutOff bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,23 +190,22 @@
 	return ws, gone, !n.view.MajorityReachable()
 }
 
-// MajorityReachable reports whether this process is in contact with most of the
-// fleet.
+// MajorityReachable reports whether this process is in contact with most of the fleet.
 func (n *Node) MajorityReachable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.view.MajorityReachable()
 }
 
-// Unreachable records that a daemon could not be reached.
+// Unreachable records that a call to a daemon failed.
 func (n *Node) Unreachable(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.MarkUnreachable(id, n.clk.Now())
-	n.viewChanged()
+	n.invalidateTargets()
 }
 
-// Reached records that a daemon was reached.
+// Reached records that a call to a daemon succeeded.
 func (n *Node) Reached(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -222,7 +219,7 @@
 	return n.view.State(id)
 }
 
-// EngineView is an engine as this process sees it, for the operators' page.
+// EngineView is an engine as this process sees it, for the admin page.
 type EngineView struct {
 	Engine   string       `json:"engine"`
 	Daemon   string       `json:"daemon"`
@@ -250,5 +247,5 @@
 	return out
 }
 
-// jitter spreads a period by a tenth either way.
+// jitter varies a period by up to a tenth in either direction.
 func jitter(d clock.Millis) clock.Millis { return d*9/10 + clock.Millis(rand.Int64N(int64(d)/5+1)) }
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -9,29 +9,29 @@
 	"github.com/weldfall/weldfall/route"
 )
 
-// poolTargets is what is cached of a pool.
+// poolTargets is the cached state of a pool.
 type poolTargets struct {
-	until clock.Millis
-	// mean is renewed when it is older than meanTTL.
+	expiresAt clock.Millis
+	// mean is computed again once it is older than meanTTL.
 	mean    route.Mean
 	meanAt  clock.Millis
-	list    []route.Target
+	targets []route.Target
 	daemons map[string]member.Instance
 }
 
-// targetsTTL bounds how long the targets of a pool are cached: hold-offs and
-// back-offs end by time alone.
+// targetsTTL limits how long the targets of a pool are cached, since holds and backoffs
+// expire without a change of the view.
 const targetsTTL clock.Millis = 100
 
-// pool returns the targets of a pool; the caller holds mu.
-func (n *Node) pool(name string, now clock.Millis) *poolTargets {
-	if pt, ok := n.targets[name]; ok && now < pt.until {
+// poolTargets returns the targets of a pool. The caller holds mu.
+func (n *Node) poolTargets(name string, now clock.Millis) *poolTargets {
+	if pt, ok := n.targets[name]; ok && now < pt.expiresAt {
 		return pt
 	}
-	pt := &poolTargets{until: now + targetsTTL, meanAt: -meanTTL - 1, daemons: map[string]member.Instance{}}
+	pt := &poolTargets{expiresAt: now + targetsTTL, meanAt: -meanTTL - 1, daemons: map[string]member.Instance{}}
 	for _, in := range n.view.Candidates(name, now) {
 		for _, e := range in.Engines {
-			pt.list = append(pt.list, route.NewTarget(e.ID, e.Slots))
+			pt.targets = append(pt.targets, route.NewTarget(e.ID, e.Slots))
 			pt.daemons[e.ID] = in
 		}
 	}
@@ -39,17 +39,17 @@
 	return pt
 }
 
-func (n *Node) viewChanged() { clear(n.targets) }
+func (n *Node) invalidateTargets() { clear(n.targets) }
 
-// Choose decides where a request of a pool goes next and returns the daemon
-// to send it to, together with the mean load that the choice was based on.
+// Choose decides where a request of a pool goes next. It returns the daemon to send the
+// request to and the mean load that the choice is based on.
 func (n *Node) Choose(pool string, q route.Query, tries []route.Try) (d route.Decision, to member.Instance, mean float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clk.Now()
-	pt := n.pool(pool, now)
+	pt := n.poolTargets(pool, now)
 	m := n.mean(pt, now)
-	d = route.Choose(q, pt.list, n.loads, m, tries, now)
+	d = route.Choose(q, pt.targets, n.loads, m, tries, now)
 	if s, ok := d.(route.Send); ok {
 		n.loads.Sent(s.Engine)
 		return d, pt.daemons[s.Engine], perSlot(m)
@@ -57,7 +57,7 @@
 	return d, to, 0
 }
 
-// meanUnknown stands for a mean that is based on too few engines.
+// meanUnknown is the mean load if too few engines are known to compute it.
 const meanUnknown = -1
 
 func perSlot(m route.Mean) float64 {
@@ -67,63 +67,64 @@
 	return m.PerSlot
 }
 
-// meanTTL is how long the mean of a pool is used before it is added up again;
-// loads that come from elsewhere are older than that anyway.
+// meanTTL is how long the mean load of a pool is cached. Loads reported by other
+// processes are older than that anyway.
 const meanTTL clock.Millis = 10
 
-// mean returns the mean load of a pool; the caller holds mu.
+// mean returns the mean load of a pool. The caller holds mu.
 func (n *Node) mean(pt *poolTargets, now clock.Millis) route.Mean {
 	if now-pt.meanAt > meanTTL {
-		pt.mean, pt.meanAt = n.loads.Mean(pt.list, now), now
+		pt.mean, pt.meanAt = n.loads.Mean(pt.targets, now), now
 	}
 	return pt.mean
 }
 
-// RequestEnded takes back the count of a request that was sent to engine.
+// RequestEnded removes a request that was sent to engine from its load.
 func (n *Node) RequestEnded(engine string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.Ended(engine)
 }
 
-// HomeEngine returns the engine ranked first for a chat, and its daemon.
+// HomeEngine returns the engine that ranks first for a chat and its daemon, or false if
+// the pool has no engines.
 func (n *Node) HomeEngine(pool string, key uint64) (string, member.Instance, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	pt := n.pool(pool, n.clk.Now())
-	top := route.Rank(key, pt.list, 1)
+	pt := n.poolTargets(pool, n.clk.Now())
+	top := route.Rank(key, pt.targets, 1)
 	if len(top) == 0 {
 		return "", member.Instance{}, false
 	}
-	id := pt.list[top[0]].ID()
+	id := pt.targets[top[0]].ID()
 	return id, pt.daemons[id], true
 }
 
-// NextEngine returns the best ranked engine for a chat other than engine, "" if
-// there is none, with its daemon.
+// NextEngine returns the best ranked engine for a chat other than engine, and its daemon,
+// or "" if there is none.
 func (n *Node) NextEngine(pool string, key uint64, engine string) (next string, at member.Instance) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	pt := n.pool(pool, n.clk.Now())
-	for _, i := range route.Rank(key, pt.list, 2) {
-		if id := pt.list[i].ID(); id != engine {
+	pt := n.poolTargets(pool, n.clk.Now())
+	for _, i := range route.Rank(key, pt.targets, 2) {
+		if id := pt.targets[i].ID(); id != engine {
 			return id, pt.daemons[id]
 		}
 	}
 	return "", member.Instance{}
 }
 
-// PoolLoad returns the number of engines of a pool and its mean load per
-// slot, below zero if too little is known.
+// PoolLoad returns the number of engines of a pool and its mean load per slot, which is
+// negative if too little is known.
 func (n *Node) PoolLoad(pool string) (engines int, mean float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clk.Now()
-	pt := n.pool(pool, now)
-	return len(pt.list), perSlot(n.mean(pt, now))
+	pt := n.poolTargets(pool, now)
+	return len(pt.targets), perSlot(n.mean(pt, now))
 }
 
-// PoolSize returns how many engines of a pool can be used, and how many are listed.
+// PoolSize returns how many engines of a pool are usable and how many are listed.
 func (n *Node) PoolSize(pool string) (usable, listed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,10 +133,10 @@
 			listed += len(in.Engines)
 		}
 	}
-	return len(n.pool(pool, n.clk.Now()).list), listed
+	return len(n.poolTargets(pool, n.clk.Now()).targets), listed
 }
 
-// RandomEntries returns the addresses of at most n other entries, by chance.
+// RandomEntries returns the addresses of up to most other entries.
 func (n *Node) RandomEntries(most int) []string {
 	n.mu.Lock()
 	peers := n.view.Peers()
@@ -150,15 +151,15 @@
 	return out[:min(most, len(out))]
 }
 
-// SampleLoads takes load reports that came with an answer.
+// SampleLoads records the load reports in an answer.
 func (n *Node) SampleLoads(loads []wire.Load) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sample(loads)
+	n.observeLoads(loads)
 }
 
-// ObserveRefusal takes load reports that came with a refusal: the first is that
-// of the engine that refused.
+// ObserveRefusal records the load reports in a refusal. The first is that of the engine
+// that refused.
 func (n *Node) ObserveRefusal(loads []wire.Load) {
 	if len(loads) == 0 {
 		return
@@ -166,25 +167,25 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loads.Observe(loads[0].Engine, loads[0].Requests, n.clk.Now()-loads[0].Age)
-	n.sample(loads[1:])
+	n.observeLoads(loads[1:])
 }
 
-// FreshestLoads returns the freshest loads known, to go with a message.
+// FreshestLoads returns the freshest loads known, to be sent with a message.
 func (n *Node) FreshestLoads() []wire.Load {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.loads.Freshest(route.LoadsOnTheWay, n.clk.Now())
 }
 
-func (n *Node) sample(loads []wire.Load) {
+func (n *Node) observeLoads(loads []wire.Load) {
 	now := n.clk.Now()
 	for _, l := range loads {
 		n.loads.Sample(l.Engine, l.Requests, now-l.Age)
 	}
 }
 
-// Skew returns the highest load of an engine over the mean of its pool, per
-// slot, for each pool with a load.
+// Skew returns, for each pool with requests, the highest load per slot of an engine
+// divided by the mean of the pool.
 func (n *Node) Skew() map[string]float64 {
 	type sums struct {
 		requests, slots int
--- a/fleet/read.go
+++ b/fleet/read.go
@@ -17,13 +17,13 @@
 // readersPerHall is how many processes of a data hall read the platform.
 const readersPerHall = 2
 
-// isReader reports whether this process is one of the few in its data hall
-// that read the platform: those ranked first for the hall's name.
+// isReader reports whether this process is one of those in its data hall that read the
+// platform: the ones ranked first for the hall's name.
 func (n *Node) isReader() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.cfg.Bootstrap) > 0 && !n.listComplete {
-		// With half of a list everybody would be among the first.
+		// With an incomplete list, every process would rank among the first.
 		return false
 	}
 	var ids []route.Target
@@ -46,31 +46,31 @@
 }
 
 const (
-	// watchWait is how long a read waits at the platform for a change.
-	watchWait clock.Millis = 2000
-	// readBackoff is the wait after a failed read.
+	// longPollWait is how long a read waits at the platform for a change.
+	longPollWait clock.Millis = 2000
+	// readBackoff is the pause after a failed read.
 	readBackoff clock.Millis = 1000
-	// readerCheck is how often a process asks itself whether it is a reader.
-	readerCheck clock.Millis = 1000
-	// staleAfter is the age of the freshest news from the platform at which
-	// processes other than the readers try for themselves.
+	// readerCheckPeriod is how often a process checks whether it is a reader.
+	readerCheckPeriod clock.Millis = 1000
+	// staleAfter is the age of the platform's latest answer from which on processes other
+	// than the readers read it too.
 	staleAfter clock.Millis = 15_000
-	// strayReads is about how many such reads a second the whole fleet makes.
-	strayReads = 20
+	// fallbackReadsPerSecond is the approximate rate of such reads over the whole fleet.
+	fallbackReadsPerSecond = 20
 )
 
 // readLoop reads one topic of the platform while this process is a reader.
 func (n *Node) readLoop(t source.Topic) func(context.Context) {
 	return func(ctx context.Context) {
-		// A daemon that has peers to ask leaves the platform alone: it needs a
-		// small part of what a read from the start brings.
+		// A daemon with peers does not read the platform at start: it needs only a small
+		// part of what a full read returns.
 		first := n.cfg.Role == member.Entry || len(n.cfg.Bootstrap) == 0
 		for ctx.Err() == nil {
 			if !first && !n.mayRead() {
-				clock.Sleep(ctx, jitter(readerCheck))
+				clock.Sleep(ctx, jitter(readerCheckPeriod))
 				continue
 			}
-			wait := watchWait
+			wait := longPollWait
 			if first || !n.isReader() {
 				wait = 0
 			}
@@ -83,20 +83,23 @@
 	}
 }
 
+// mayRead reports whether this process may read the platform now, as a reader or because
+// its data is stale.
 func (n *Node) mayRead() bool {
 	if n.isReader() {
 		return true
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.store.PlatformAge(n.clk.Now()) < staleAfter && n.ready.Load() || n.clk.Now()-n.startAt < startPatience {
+	if n.store.PlatformAge(n.clk.Now()) < staleAfter && n.ready.Load() || n.clk.Now()-n.startedAt < startTimeout {
 		return false
 	}
-	return rand.Float64() < strayReads/float64(len(n.view.Peers())+1)
+	return rand.Float64() < fallbackReadsPerSecond/float64(len(n.view.Peers())+1)
 }
 
-// read takes what the platform has after what this process has; it returns
-// false on failure. Answers older than that change nothing.
+// read applies what the platform has after the local revision and reports whether it
+// succeeded. An answer from an older revision does not count as an answer of the
+// platform.
 func (n *Node) read(ctx context.Context, t source.Topic, wait clock.Millis) bool {
 	n.mu.Lock()
 	after := n.readAfter(t)
@@ -114,35 +117,36 @@
 	}
 	n.mu.Lock()
 	items := n.toItems(t, b)
-	news := n.learn(items)
-	for _, topic := range topicsOf(t) {
+	newItems := n.applyItems(items)
+	for _, topic := range wireTopics(t) {
 		n.store.MarkComplete(topic, b.Rev)
 	}
 	if b.Rev >= after {
 		n.store.RecordPlatformAnswer(0, n.clk.Now())
 	}
-	n.readOK = true
+	n.platformRead = true
 	n.mu.Unlock()
 	if after > 0 {
-		// A read from the start is this process catching up, and no news.
-		n.push(news, nil)
+		// After a full read, this process is catching up and its items are not new to
+		// others.
+		n.push(newItems, nil)
 	}
-	n.settleReady(0)
+	n.updateReady(0)
 	return true
 }
 
-func topicsOf(t source.Topic) []wire.Topic {
+func wireTopics(t source.Topic) []wire.Topic {
 	if t == source.Instances {
 		return []wire.Topic{wire.TopicInstances}
 	}
 	return []wire.Topic{wire.TopicCore, wire.TopicBranches}
 }
 
-// readAfter is the lowest revision that all held topics of t are complete to;
-// the caller holds mu.
+// readAfter returns the lowest revision to which all held topics of t are complete. The
+// caller holds mu.
 func (n *Node) readAfter(t source.Topic) int64 {
 	after := int64(-1)
-	for _, topic := range topicsOf(t) {
+	for _, topic := range wireTopics(t) {
 		if !n.store.Holds(topic) {
 			continue
 		}
@@ -153,11 +157,11 @@
 	return max(0, after)
 }
 
-// toItems turns a batch into items; each names the one before it in its
-// topic, so that peers can tell whether they missed any.
+// toItems converts a batch into items. Each names the revision before it in its topic, so
+// that peers can tell whether they missed any.
 func (n *Node) toItems(t source.Topic, b source.Batch) []wire.Item {
 	prev := map[wire.Topic]int64{}
-	for _, topic := range topicsOf(t) {
+	for _, topic := range wireTopics(t) {
 		prev[topic] = n.store.Upto(topic)
 	}
 	items := make([]wire.Item, 0, len(b.Items))
--- a/fleet/source/client.go
+++ b/fleet/source/client.go
@@ -1,6 +1,5 @@
-// Package source reads weldfall's own settings service: configuration values and the
-// list of instances, both with revisions and watched by long poll. Nothing is
-// ever written there.
+// Package source reads weldfall's own settings service: configuration values and the list
+// of instances, both with revisions and watched by long poll. It never writes there.
 package source
 
 import (
@@ -22,7 +21,7 @@
 	"github.com/weldfall/weldfall/common/whole"
 )
 
-// Topic names a sequence of values of the platform.
+// Topic is a sequence of values of the platform.
 type Topic string
 
 const (
@@ -38,31 +37,31 @@
 	Gone  bool   `json:"gone"`
 }
 
-// Batch is what the platform has after a revision, ascending. Everything up
-// to Rev is in it; More says that there is more after that.
+// Batch holds the changes after a revision, in ascending order, complete up to Rev. More
+// reports that there are changes after Rev.
 type Batch struct {
 	Rev   int64  `json:"rev"`
 	Items []Item `json:"items"`
 	More  bool   `json:"more"`
-	// Attempts is how many calls it took: more than one where a connection gave no sign.
+	// Attempts is how many calls were made, more than one if a connection was silent.
 	Attempts int `json:"-"`
 }
 
-// maxAnswer bounds an answer in bytes: a batch of values of up to a megabyte,
-// escaped.
-const maxAnswer = 8 << 20
+// maxResponse limits a response in bytes: a batch of values of up to a megabyte, escaped.
+const maxResponse = 8 << 20
 
-// callLimit is how long the service may give no sign after the wait of a call, or in
-// the middle of its answer, in time that this process had to listen. An answer may
-// take as long as it comes: a megabyte on a slow link takes its time.
-const callLimit clock.Millis = 5000
+// responseTimeout is how long the service may send nothing once the wait of a call is
+// over, or in the middle of its response, not counting time in which this process did not
+// run. A response as a whole has no time limit, since a megabyte takes long on a slow
+// link.
+const responseTimeout clock.Millis = 5000
 
 const (
-	// hedgeAfter is how long after the wait of a call, without a sign, the same is asked
-	// once more on a new connection: the service answers in milliseconds, and while it is
-	// slow the first call is still waited for.
+	// hedgeAfter is how long after the wait of a call without a response a second call is
+	// made on a new connection. The service answers in milliseconds; the first call is
+	// still waited for, in case the service is slow.
 	hedgeAfter clock.Millis = 500
-	// hedgePeriod is the time between further such calls.
+	// hedgePeriod is the time between further hedged calls.
 	hedgePeriod clock.Millis = 1000
 )
 
@@ -73,38 +72,38 @@
 	idle *dial.Idle
 }
 
-// New returns a client of the platform at base, for example
-// http://10.0.0.1:9000.
+// New returns a client of the platform at base, for example http://10.0.0.1:9000.
 func New(base string, clk *clock.Clock) *Client {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	return &Client{base: base, http: c, idle: dial.NewIdle(c, clk)}
 }
 
-// answer is what a call came to.
-type answer struct {
+// response is the outcome of a call.
+type response struct {
 	batch Batch
 	err   error
 }
 
-// Changes returns what came after a revision of a topic. If there is nothing
-// it waits for up to wait. Each call counts against the platform's limit.
+// Changes returns the changes of a topic after a revision. If there are none it waits for
+// up to wait. A call without a response is hedged; the first successful response is
+// returned. Each call counts against the platform's rate limit.
 func (c *Client) Changes(ctx context.Context, t Topic, after int64, wait clock.Millis) (Batch, error) {
 	c.idle.CloseStale()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers, begun := make(chan answer), make(chan struct{})
+	responses, begun := make(chan response), make(chan struct{})
 	begin := sync.OnceFunc(func() { close(begun) })
-	ask := func(wait clock.Millis) {
+	call := func(wait clock.Millis) {
 		b, err := c.call(ctx, t, after, wait, begin)
 		select {
-		case answers <- answer{b, err}:
+		case responses <- response{b, err}:
 		case <-ctx.Done():
 		}
 	}
-	go ask(wait)
+	go call(wait)
 	hedge := time.NewTimer((wait + hedgeAfter).Duration())
 	defer hedge.Stop()
-	outstanding, asked := 1, 1
+	outstanding, attempts := 1, 1
 	for {
 		select {
 		case <-begun:
@@ -112,16 +111,16 @@
 			begun = nil
 		case <-hedge.C:
 			metrics.GetOrCreateCounter("weldfall_platform_calls_hedged_total").Inc()
-			// Where one connection is silent, those that rest may be.
+			// Where one connection is silent, idle ones may be too.
 			c.http.CloseIdleConnections()
 			outstanding++
-			asked++
-			go ask(0)
+			attempts++
+			go call(0)
 			hedge.Reset(hedgePeriod.Duration())
-		case a := <-answers:
-			if outstanding--; a.err == nil || outstanding == 0 {
-				a.batch.Attempts = asked
-				return a.batch, a.err
+		case res := <-responses:
+			if outstanding--; res.err == nil || outstanding == 0 {
+				res.batch.Attempts = attempts
+				return res.batch, res.err
 			}
 		case <-ctx.Done():
 			return Batch{}, fmt.Errorf("platform %s: %w", t, ctx.Err())
@@ -129,10 +128,10 @@
 	}
 }
 
-// call makes one call. begun is called when the head of its answer is there.
+// call makes one call. It calls begun when the header of the response has arrived.
 func (c *Client) call(ctx context.Context, t Topic, after int64, wait clock.Millis, begun func()) (Batch, error) {
 	guard := silence.New()
-	ctx, cancel := guard.Context(ctx, wait, callLimit)
+	ctx, cancel := guard.Context(ctx, wait, responseTimeout)
 	defer cancel()
 	q := url.Values{"after": {strconv.FormatInt(after, 10)}, "wait_ms": {strconv.FormatInt(int64(wait), 10)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/"+string(t)+"?"+q.Encode(), nil)
@@ -150,7 +149,7 @@
 	}
 	guard.Begin()
 	begun()
-	body, err := whole.Read(guard.Reader(res.Body), res.ContentLength, maxAnswer)
+	body, err := whole.Read(guard.Reader(res.Body), res.ContentLength, maxResponse)
 	if err != nil {
 		return Batch{}, fmt.Errorf("platform %s: %w", t, cmp.Or(context.Cause(ctx), err))
 	}
--- a/fleet/source/client_test.go
+++ b/fleet/source/client_test.go
@@ -64,10 +64,10 @@
 }
 
 func TestABatchThatIsTooLargeIsCalledThat(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(source.MaxAnswer))
+	srv := httptest.NewServer(largetest.Over(source.MaxResponse))
 	defer srv.Close()
 	_, err := source.New(srv.URL, clock.System()).Changes(t.Context(), source.Config, 0, 0)
-	if want := strconv.Itoa(source.MaxAnswer); !errors.Is(err, whole.ErrTooLarge) || !strings.Contains(err.Error(), want) {
+	if want := strconv.Itoa(source.MaxResponse); !errors.Is(err, whole.ErrTooLarge) || !strings.Contains(err.Error(), want) {
 		t.Errorf("got %v, want an error that names the limit of %s bytes", err, want)
 	}
 }
--- a/fleet/source/export_test.go
+++ b/fleet/source/export_test.go
@@ -1,4 +1,4 @@
 package source
 
-// MaxAnswer is maxAnswer, for the tests.
-const MaxAnswer = maxAnswer
+// MaxResponse exports maxResponse for the tests.
+const MaxResponse = maxResponse
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -1,14 +1,13 @@
-// Package spread keeps what the platform publishes the same in every process:
-// settings and the list of instances. A few processes read the platform; the
-// rest hear from each other. It is pure: messages and the time are handed in,
-// and messages to send are returned.
+// Package spread replicates what the platform publishes, settings and the list of
+// instances, to every process. A few processes read the platform; the others exchange
+// items with each other. The package does no I/O: callers pass in messages and times, and
+// send the messages that it returns.
 //
-// Each topic is a compacted log: the latest item of each key, ordered by the
-// platform's revision. A process that has everything up to a revision asks a
-// random peer for the rest (anti-entropy, Demers et al. 1987) and hands new
-// items on at once to a few peers, so that a change reaches all within
-// seconds and a lost message is made good by the next exchange. Items never
-// give way to older ones.
+// Each topic is a compacted log: the latest item of each key, ordered by the platform's
+// revision. A process that has everything up to a revision requests the rest from a
+// random peer (anti-entropy, Demers et al. 1987) and pushes new items to a few peers at
+// once. A change reaches all processes within seconds, and the next exchange makes up for
+// a lost message. An older item never replaces a newer one.
 package spread
 
 import (
@@ -18,16 +17,15 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// topicState is the latest items of one topic.
+// topicState holds the latest items of one topic.
 type topicState struct {
 	items map[string]wire.Item
-	// order has the revisions of items, ascending, with their keys; stale
-	// pairs are skipped and removed on compaction.
+	// order holds the revisions of items with their keys, ascending. Entries of replaced
+	// items are skipped, and removed on compaction.
 	order []revKey
-	// upto is the revision up to which this process has everything. It never
-	// goes down.
+	// upto is the revision up to which this process has everything. It never decreases.
 	upto int64
-	// invalid has the keys whose latest value is not valid.
+	// invalid holds the keys whose latest value is not valid.
 	invalid map[string]bool
 }
 
@@ -36,23 +34,24 @@
 	key string
 }
 
-// Store is what one process holds of all topics. It is not safe for
-// concurrent use.
+// Store holds the topics of one process. It is not safe for concurrent use.
 type Store struct {
 	topics map[wire.Topic]*topicState
-	// heard is when the platform last answered anybody, as far as known.
-	heard   clock.Millis
-	isHeard bool
-	// ChunkBytes bounds the items in one answer, so that a process that has
-	// nothing catches up within its share of control traffic.
+	// answeredAt is when the platform last answered any process, as far as known. It is
+	// set only if answered is true.
+	answeredAt clock.Millis
+	answered   bool
+	// chunkBytes limits the items in one answer, so that a process without data catches
+	// up within its share of the control traffic.
 	chunkBytes int
 }
 
-// DefaultChunkBytes is what the control budget of 5,000 bytes a second leaves
-// for catching up beside the ordinary traffic.
+// DefaultChunkBytes is what the budget of 5,000 bytes of control traffic a second leaves
+// for catching up, beside the ordinary traffic.
 const DefaultChunkBytes = 2000
 
-// itemOverhead is the envelope of an item in bytes, for the chunk's bound.
+// itemOverhead is the size in bytes of an item without its key and values, for
+// chunkBytes.
 const itemOverhead = 64
 
 // NewStore returns an empty store for the topics that the process holds.
@@ -102,27 +101,27 @@
 	return 0
 }
 
-// Add takes items from the platform or a peer and returns those that were
-// news. Topics that the process does not hold are passed over.
+// Add applies items from the platform or a peer and returns those that were new. It
+// ignores topics that the process does not hold.
 func (s *Store) Add(items []wire.Item) []wire.Item {
-	var news []wire.Item
+	var newItems []wire.Item
 	for _, it := range items {
 		st := s.topics[it.Topic]
 		if st == nil || !st.add(it) {
 			continue
 		}
-		news = append(news, it)
+		newItems = append(newItems, it)
 	}
-	return news
+	return newItems
 }
 
 func (st *topicState) add(it wire.Item) bool {
 	old, known := st.items[it.Key]
 	if known && it.Rev <= old.Rev {
-		return st.addGood(old, it)
+		return st.addLastGood(old, it)
 	}
 	if known && it.LastGood == "" && !it.Gone {
-		// The last good value goes along until a valid one comes.
+		// The last valid value is kept until a valid one arrives.
 		it.LastGood, it.LastGoodRev = old.LastGood, old.LastGoodRev
 	}
 	st.items[it.Key] = it
@@ -138,8 +137,9 @@
 	return true
 }
 
-// addGood takes a newer last good value of an item that is known already.
-func (st *topicState) addGood(old, it wire.Item) bool {
+// addLastGood updates the last valid value of a known item and reports whether it was
+// newer.
+func (st *topicState) addLastGood(old, it wire.Item) bool {
 	if it.Rev != old.Rev || !st.invalid[it.Key] || it.LastGoodRev <= old.LastGoodRev {
 		return false
 	}
@@ -152,9 +152,8 @@
 	st.order = slices.DeleteFunc(st.order, func(rk revKey) bool { return st.items[rk.key].Rev != rk.rev })
 }
 
-// MarkInvalid records that the latest value of a key is not valid, and the
-// last valid one, if any is known. The item is handed on with it, so that a
-// new process can put it in force.
+// MarkInvalid records that the latest value of a key is not valid, and the last valid one
+// if it is known. Peers get both, so that a new process can put the valid one in force.
 func (s *Store) MarkInvalid(t wire.Topic, key, good string, goodRev int64) {
 	st := s.topics[t]
 	if st == nil {
@@ -167,33 +166,34 @@
 	}
 }
 
-// MarkComplete records that everything up to rev of a topic has been added.
+// MarkComplete records that all items of a topic up to rev have been added.
 func (s *Store) MarkComplete(t wire.Topic, rev int64) {
 	if st := s.topics[t]; st != nil {
 		st.upto = max(st.upto, rev)
 	}
 }
 
-// RecordPlatformAnswer records that the platform answered somebody age ago.
+// RecordPlatformAnswer records that the platform answered some process age ago.
 func (s *Store) RecordPlatformAnswer(age, now clock.Millis) {
-	if at := now - age; !s.isHeard || at > s.heard {
-		s.heard, s.isHeard = at, true
+	if at := now - age; !s.answered || at > s.answeredAt {
+		s.answeredAt, s.answered = at, true
 	}
 }
 
-// neverHeard stands for a platform that nobody has heard from.
-const neverHeard clock.Millis = 1 << 40
+// neverAnswered is the age of the platform's latest answer if none is known.
+const neverAnswered clock.Millis = 1 << 40
 
-// PlatformAge returns how long ago the platform last answered anybody.
+// PlatformAge returns the time since the platform last answered any process.
 func (s *Store) PlatformAge(now clock.Millis) clock.Millis {
-	if !s.isHeard {
-		return neverHeard
+	if !s.answered {
+		return neverAnswered
 	}
-	return now - s.heard
+	return now - s.answeredAt
 }
 
-// since returns the items of a topic after rev, ascending, within a bound of
-// bytes but at least one, and the revision that the asker has with them.
+// since returns the items of a topic after rev, ascending, and the revision to which they
+// bring the requester. The items stay within the given number of bytes, but there is at
+// least one if any is newer than rev.
 func (st *topicState) since(rev int64, bytes int) (items []wire.Item, upto int64, used int) {
 	at, _ := slices.BinarySearchFunc(st.order, rev+1, func(a revKey, r int64) int { return int(a.rev - r) })
 	for _, rk := range st.order[at:] {
@@ -212,22 +212,22 @@
 	return items, st.upto, used
 }
 
-// maxGoods bounds the invalid items whose last good values are compared in
-// one exchange.
-const maxGoods = 8
+// maxLastGoodRevs limits the invalid items whose last valid values are compared in one
+// exchange.
+const maxLastGoodRevs = 8
 
 // NewExchange returns the message that starts an exchange with a random peer.
 func (s *Store) NewExchange(self string, now clock.Millis) wire.Exchange {
-	return wire.Exchange{From: self, Revs: s.Revs(), PlatformAge: s.PlatformAge(now), LastGoodRevs: s.goods()}
+	return wire.Exchange{From: self, Revs: s.Revs(), PlatformAge: s.PlatformAge(now), LastGoodRevs: s.lastGoodRevs()}
 }
 
-// goods returns the last good revisions of items whose latest value is not
-// valid; processes may have seen different ones and agree on the newest.
-func (s *Store) goods() map[string]int64 {
+// lastGoodRevs returns the last valid revisions of items whose latest value is not valid.
+// Processes may have seen different ones and agree on the newest.
+func (s *Store) lastGoodRevs() map[string]int64 {
 	out := map[string]int64{}
 	for _, st := range s.topics {
 		for key := range st.invalid {
-			if len(out) == maxGoods {
+			if len(out) == maxLastGoodRevs {
 				return out
 			}
 			out[key] = st.items[key].LastGoodRev
@@ -236,8 +236,8 @@
 	return out
 }
 
-// Answer answers a peer's exchange: with what the peer lacks, in the order of
-// Topics, and with what this process has.
+// Answer answers an exchange with the items that the peer lacks, in the order of Topics,
+// and the revisions that this process has.
 func (s *Store) Answer(e wire.Exchange, now clock.Millis) wire.Exchanged {
 	s.RecordPlatformAnswer(e.PlatformAge, now)
 	out := wire.Exchanged{Revs: s.Revs(), PlatformAge: s.PlatformAge(now), Upto: map[wire.Topic]int64{}}
@@ -254,15 +254,15 @@
 		left -= used
 	}
 	for key, rev := range e.LastGoodRevs {
-		if it, ok := s.find(key); ok && it.LastGoodRev > rev {
+		if it, ok := s.findInvalid(key); ok && it.LastGoodRev > rev {
 			out.Items = append(out.Items, it)
 		}
 	}
 	return out
 }
 
-// find returns the item of a key that is known to be invalid.
-func (s *Store) find(key string) (wire.Item, bool) {
+// findInvalid returns the item of a key whose latest value is not valid, or false.
+func (s *Store) findInvalid(key string) (wire.Item, bool) {
 	for _, st := range s.topics {
 		if st.invalid[key] {
 			return st.items[key], true
@@ -271,12 +271,12 @@
 	return wire.Item{}, false
 }
 
-// ApplyAnswer takes the answer to an exchange and returns the items that were news.
+// ApplyAnswer applies the answer to an exchange and returns the items that were new.
 func (s *Store) ApplyAnswer(e wire.Exchanged, now clock.Millis) []wire.Item {
 	s.RecordPlatformAnswer(e.PlatformAge, now)
-	news := s.Add(e.Items)
+	newItems := s.Add(e.Items)
 	for t, rev := range e.Upto {
 		s.MarkComplete(t, rev)
 	}
-	return news
+	return newItems
 }
--- a/link/codec.go
+++ b/link/codec.go
@@ -47,19 +47,19 @@
 	w   *bufio.Writer
 	buf bytes.Buffer
 	enc *msgpack.Encoder
-	// armed is true while frames wait for a flush that is due.
-	armed bool
-	// failed is the error of a flush that nobody waited for.
-	failed error
+	// flushDue is true while frames wait for a flush that is due.
+	flushDue bool
+	// flushErr is the error of a flush that nobody waited for.
+	flushErr error
 }
 
 // writeBuffer is the size of the buffer for messages on their way out, in
 // bytes. Control messages are small and their connections many.
 var writeBuffer = map[Class]int{Data: 32 << 10, Control: 2 << 10}
 
-// gather is how long a frame that is not an answer's first may wait for
+// flushDelay is how long a frame that is not an answer's first may wait for
 // others of the same connection, so that they go in one write.
-const gather clock.Millis = 1
+const flushDelay clock.Millis = 1
 
 var _ jsonrpc2.ObjectStream = (*stream)(nil)
 
@@ -81,7 +81,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count("out", data)
+	s.countBytes("out", data)
 	if err := s.write(formatRPC, data); err != nil {
 		return err
 	}
@@ -93,8 +93,8 @@
 func (s *stream) WriteFrame(f wire.Frame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failed != nil {
-		return s.failed
+	if s.flushErr != nil {
+		return s.flushErr
 	}
 	s.buf.Reset()
 	if err := s.enc.Encode(f); err != nil {
@@ -106,9 +106,9 @@
 	if f.Head != nil {
 		return s.w.Flush()
 	}
-	if !s.armed {
-		s.armed = true
-		clock.After(gather, s.flush)
+	if !s.flushDue {
+		s.flushDue = true
+		clock.After(flushDelay, s.flush)
 	}
 	return nil
 }
@@ -117,8 +117,8 @@
 func (s *stream) flush() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.armed = false
-	s.failed = s.w.Flush()
+	s.flushDue = false
+	s.flushErr = s.w.Flush()
 }
 
 // write puts one message in the buffer; the caller holds mu.
@@ -146,7 +146,7 @@
 		}
 		switch f {
 		case formatRPC:
-			s.count("in", data)
+			s.countBytes("in", data)
 			if err := json.Unmarshal(data, v); err != nil {
 				return fmt.Errorf("decode message: %w", err)
 			}
@@ -180,20 +180,20 @@
 	return format(f), data, err
 }
 
-var methodMark = []byte(`"method":"`)
+var methodPrefix = []byte(`"method":"`)
 
-// kindHead is how far into a message its method is looked for; the library
+// methodSearchLen is how far into a message its method is looked for; the library
 // writes the keys of the envelope in alphabetic order.
-const kindHead = 160
+const methodSearchLen = 160
 
 // kindOf finds the method of an encoded message; answers have none.
 func kindOf(data []byte) string {
-	head := data[:min(len(data), kindHead)]
-	i := bytes.Index(head, methodMark)
+	head := data[:min(len(data), methodSearchLen)]
+	i := bytes.Index(head, methodPrefix)
 	if i < 0 {
 		return "reply"
 	}
-	rest := head[i+len(methodMark):]
+	rest := head[i+len(methodPrefix):]
 	j := bytes.IndexByte(rest, '"')
 	if j < 0 {
 		return "unknown"
@@ -201,7 +201,7 @@
 	return string(rest[:j])
 }
 
-func (s *stream) count(direction string, data []byte) {
+func (s *stream) countBytes(direction string, data []byte) {
 	if s.class == Data {
 		return
 	}
--- a/link/link.go
+++ b/link/link.go
@@ -55,10 +55,10 @@
 	rpc    *jsonrpc2.Conn
 	stream *stream
 	clk    *clock.Clock
-	// heard is the time of the latest message from the other side.
-	heard atomic.Int64
-	// busy counts the requests in flight that want the connection watched.
-	busy atomic.Int64
+	// receivedAt is the time of the latest message from the other side.
+	receivedAt atomic.Int64
+	// inFlight counts the requests in flight that want the connection watched.
+	inFlight atomic.Int64
 	// peerBoot is set before a dialed connection is handed out.
 	peerBoot uint64
 }
@@ -105,20 +105,20 @@
 // Close ends the connection.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
-// unheard reports whether nothing came from the other side since the given time.
-func (c *Conn) unheard(since clock.Millis) bool { return clock.Millis(c.heard.Load()) < since }
+// silentSince reports whether nothing came from the other side since the given time.
+func (c *Conn) silentSince(since clock.Millis) bool { return clock.Millis(c.receivedAt.Load()) < since }
 
 // Watch marks one more request in flight until the returned function is
 // called. A watched connection that stays silent is closed.
 func (c *Conn) Watch() (release func()) {
-	if c.busy.Add(1) == 1 {
-		c.heard.Store(int64(c.clk.Now()))
+	if c.inFlight.Add(1) == 1 {
+		c.receivedAt.Store(int64(c.clk.Now()))
 	}
-	return sync.OnceFunc(func() { c.busy.Add(-1) })
+	return sync.OnceFunc(func() { c.inFlight.Add(-1) })
 }
 
-// keepAlive pings while requests are in flight and closes a silent connection.
-func (c *Conn) keepAlive() {
+// monitor pings while requests are in flight and closes a silent connection.
+func (c *Conn) monitor() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -126,10 +126,10 @@
 		cancel()
 	}()
 	clock.Every(ctx, PingPeriod, func() {
-		if c.busy.Load() == 0 {
+		if c.inFlight.Load() == 0 {
 			return
 		}
-		if c.clk.Now()-clock.Millis(c.heard.Load()) > SilenceLimit {
+		if c.clk.Now()-clock.Millis(c.receivedAt.Load()) > SilenceLimit {
 			c.Close()
 			return
 		}
@@ -178,17 +178,17 @@
 
 func newConn(nc net.Conn, class Class, clk *clock.Clock, h Handler) *Conn {
 	c := &Conn{clk: clk}
-	c.heard.Store(int64(clk.Now()))
+	c.receivedAt.Store(int64(clk.Now()))
 	a := &adapter{conn: c, ready: make(chan struct{}), h: h}
 	c.stream = newStream(nc, class, func(f wire.Frame) {
-		c.heard.Store(int64(clk.Now()))
+		c.receivedAt.Store(int64(clk.Now()))
 		h.Frame(f)
 	})
 	quiet := jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
-	touch := jsonrpc2.OnRecv(func(*jsonrpc2.Request, *jsonrpc2.Response) { c.heard.Store(int64(clk.Now())) })
+	touch := jsonrpc2.OnRecv(func(*jsonrpc2.Request, *jsonrpc2.Response) { c.receivedAt.Store(int64(clk.Now())) })
 	c.rpc = jsonrpc2.NewConn(context.Background(), c.stream, a, quiet, touch)
 	close(a.ready)
-	go c.keepAlive()
+	go c.monitor()
 	return c
 }
 
@@ -233,7 +233,7 @@
 		if e.err != nil {
 			return nil, e.err
 		}
-		if e.conn.unheard(p.clk.Woke()) {
+		if e.conn.silentSince(p.clk.Woke()) {
 			e.conn.Close()
 		}
 		if !e.conn.ended() {
@@ -303,7 +303,7 @@
 	n := 0
 	for _, e := range p.entries() {
 		// A connection that is being dialed is not waited for.
-		if c := e.live.Load(); c != nil && c.unheard(since) {
+		if c := e.live.Load(); c != nil && c.silentSince(since) {
 			c.Close()
 			n++
 		}
@@ -335,7 +335,7 @@
 // on which nothing comes for as long as rest is closed, since the end of a
 // silent connection does not come through; zero lets them rest for ever.
 func Serve(ctx context.Context, ln net.Listener, clk *clock.Clock, h Handler, rest clock.Millis) error {
-	open := &served{conns: map[*Conn]bool{}}
+	open := &acceptedConns{conns: map[*Conn]bool{}}
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
 	defer open.closeIf(func(*Conn) bool { return true })
@@ -344,7 +344,7 @@
 		defer stopSweep()
 		go clock.Every(sweepCtx, max(1, rest/2), func() {
 			since := clk.Now() - rest
-			open.closeIf(func(c *Conn) bool { return c.unheard(since) })
+			open.closeIf(func(c *Conn) bool { return c.silentSince(since) })
 		})
 	}
 	for {
@@ -384,26 +384,26 @@
 	return Data, nil
 }
 
-// served are the connections that a server has accepted. It is safe for
+// acceptedConns are the connections that a server has accepted. It is safe for
 // concurrent use.
-type served struct {
+type acceptedConns struct {
 	mu    sync.Mutex
 	conns map[*Conn]bool
 }
 
-func (s *served) add(c *Conn) {
+func (s *acceptedConns) add(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = true
 }
 
-func (s *served) remove(c *Conn) {
+func (s *acceptedConns) remove(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-func (s *served) closeIf(f func(*Conn) bool) {
+func (s *acceptedConns) closeIf(f func(*Conn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -67,8 +67,8 @@
 	// time since the list was last confirmed to have it.
 	ListSum uint32       `json:"l,omitempty"`
 	ListAge clock.Millis `json:"la,omitempty"`
-	// SuspectsComplete is true if the process knows the requests that crashed engines
-	// before all entries that started recently did so.
+	// SuspectsComplete is true if the process also knows the requests that crashed
+	// engines before the recent starts of other entries.
 	SuspectsComplete bool `json:"rm,omitempty"`
 	// SuspectSum is the checksum of all requests that are suspected to crash engines,
 	// zero if there are none. Suspects holds some of them, packed.
