--- a/gate/cold.go
+++ b/gate/cold.go
@@ -10,55 +10,55 @@
 )
 
 const (
-	// coldPart is how much of what a cold engine may get the entries share out;
-	// the rest is for entries that do not yet know of the same others.
-	coldPart = 0.85
-	// fleetKnownAfter is how long an entry takes at most to hear of all others: a
-	// dozen rounds of asking. Until then, and while it knows none, it takes it
-	// that there are usualEntries.
-	fleetKnownAfter clock.Millis = 6000
-	usualEntries                 = extraShare
+	// sharedPart is the part of the warm-up quota that the entries divide among themselves.
+	// The rest is a reserve for entries that do not yet know the same others.
+	sharedPart = 0.85
+	// discoveryTime is how long an entry takes at most to discover all others: a dozen rounds
+	// of gossip. Until then, and while it knows no others, it assumes that there are
+	// assumedEntries.
+	discoveryTime  clock.Millis = 6000
+	assumedEntries              = minRetryParts
 )
 
-// SetOthers implements peers.Host. An entry that loses sight of others cannot
-// tell whether they ended, so it goes on counting as many as it ever knew.
+// SetOthers implements peers.Host. An entry that loses contact with others cannot tell
+// whether they ended, so the largest number ever known still counts.
 func (g *Gate) SetOthers(self string, others []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if most := len(others) + 1; most > g.mostEntries {
-		g.mostEntries = most
-		g.boundAllConns(g.table.Load())
+	if most := len(others) + 1; most > g.maxEntries {
+		g.maxEntries = most
+		g.limitAllConns(g.table.Load())
 	}
-	least := g.mostEntries
-	if len(others) == 0 || g.clk.Now()-g.began <= fleetKnownAfter {
-		least = max(least, usualEntries)
+	least := g.maxEntries
+	if len(others) == 0 || g.clk.Now()-g.startedAt <= discoveryTime {
+		least = max(least, assumedEntries)
 	}
-	if g.parts != nil && slices.Equal(others, g.others) && least == g.leastEntries {
+	if g.warmupParts != nil && slices.Equal(others, g.others) && least == g.minEntries {
 		return
 	}
-	g.others, g.leastEntries = others, least
-	g.shares, g.parts = peers.NewShares(self, others, least), map[string]int{}
+	g.others, g.minEntries = others, least
+	g.shares, g.warmupParts = peers.NewShares(self, others, least), map[string]int{}
 }
 
-// cold returns what holds for cold engines of a request's service. The caller
-// holds mu.
-func (g *Gate) cold(c *call) engines.Cold {
+// warmup returns the limits for engines of the request's service that are in warm-up. The
+// caller holds mu.
+func (g *Gate) warmup(c *call) engines.Cold {
 	s, ok := c.table.Service(c.service)
 	b := g.bounds()
 	if !ok || s.Warmup <= 0 || b.WarmupOverrun+b.WarmupExtra <= 0 {
 		return engines.Cold{}
 	}
-	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.coldMost(s, id) }}
+	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.warmupQuota(s, id) }}
 }
 
-// coldMost is this entry's part of what a cold engine may get. The caller holds
-// mu.
-func (g *Gate) coldMost(s table.Service, id string) int {
-	part, ok := g.parts[id]
+// warmupQuota returns this entry's part of the quota of an engine in warm-up. The caller
+// holds mu.
+func (g *Gate) warmupQuota(s table.Service, id string) int {
+	part, ok := g.warmupParts[id]
 	if !ok {
 		b := g.bounds()
-		part = g.shares.Part(int(coldPart*(s.WarmupRate*b.WarmupOverrun+b.WarmupExtra)), id)
-		g.parts[id] = part
+		part = g.shares.Part(int(sharedPart*(s.WarmupRate*b.WarmupOverrun+b.WarmupExtra)), id)
+		g.warmupParts[id] = part
 	}
 	return part
 }
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -14,141 +14,141 @@
 
 // Stopping.
 const (
-	// graceMargin is left of the grace for the end of the process itself: for
-	// word to the callers whose answers have not begun, and for the last lines
-	// of the log.
+	// graceMargin is the part of the grace that is reserved for the end of the process: for
+	// errors to callers whose responses have not begun, and for the last log lines.
 	graceMargin clock.Millis = 250
-	// lastWords is how long that word may take.
-	lastWords clock.Millis = 100
+	// finalAnswersTime is how long sending those errors may take.
+	finalAnswersTime clock.Millis = 100
 )
 
-// errGraceOver is why the request of a process ends that has to end itself.
-var errGraceOver = errors.New("this entry's grace is over")
-
-// leave is how far a process is with stopping. It is safe for concurrent use.
-type leave struct {
-	// since is when it was told to stop, by when it ends at the latest; both
-	// are 0 before.
-	since, by atomic.Int64
-	// idleClosed is true once the balancer had the time to notice and idle
-	// connections are closed.
+// errGraceOver is the cancellation cause of requests that are still in flight when the
+// process must end.
+var errGraceOver = errors.New("this entry is stopping and its grace period is over")
+
+// shutdown is the state of a stopping process. It is safe for concurrent use.
+type shutdown struct {
+	// startedAt is when the process was asked to stop, endsBy when it ends at the latest.
+	// Both are 0 before.
+	startedAt, endsBy atomic.Int64
+	// idleClosed is true once the load balancer had time to notice and idle connections are
+	// closed.
 	idleClosed atomic.Bool
-	// tookAt is when a request was last taken.
-	tookAt atomic.Int64
-	// over is true once the process cuts off what is still running.
-	over atomic.Bool
+	// admittedAt is when a request was last admitted.
+	admittedAt atomic.Int64
+	// aborting is true once the process aborts what is still in flight.
+	aborting atomic.Bool
 
-	// estimate says how long the answer to a call takes. It sorts some hundred
-	// measurements, so no call is asked about before the process stops.
+	// estimate returns the estimated duration of the response to a call. It sorts some
+	// hundred samples, so it is called only while the process is stopping.
 	estimate func(c *call) duration.Estimate
 
 	mu sync.Mutex
-	// running holds the calls that were taken and are not done.
-	running map[*call]struct{}
+	// inFlight holds the calls that were admitted and have not ended.
+	inFlight map[*call]struct{}
 }
 
-// begun reports whether the process is stopping.
-func (l *leave) begun() bool { return l.by.Load() != 0 }
+// started reports whether the process is stopping.
+func (l *shutdown) started() bool { return l.endsBy.Load() != 0 }
 
-// take records a call that was taken. It reports false once the process cuts
-// off what runs: a call that came to it then would not be among that.
-func (l *leave) take(c *call) bool {
+// admit records a call as in flight. It returns false once the process aborts what is in
+// flight, since the call would be missed.
+func (l *shutdown) admit(c *call) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over.Load() {
+	if l.aborting.Load() {
 		return false
 	}
-	l.tookAt.Store(int64(c.start))
-	l.running[c] = struct{}{}
+	l.admittedAt.Store(int64(c.start))
+	l.inFlight[c] = struct{}{}
 	return true
 }
 
-// done records the end of a call.
-func (l *leave) done(c *call) {
+// done removes a call that has ended.
+func (l *shutdown) done(c *call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.running, c)
+	delete(l.inFlight, c)
 }
 
-// takes returns how long the answer to a call takes, as expected when a stopping
-// process first asked.
-func (l *leave) takes(c *call) duration.Estimate {
+// estimateFor returns the estimated duration of the response to a call, as estimated when
+// the stopping process first needed it.
+func (l *shutdown) estimateFor(c *call) duration.Estimate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.takesOf(c)
+	return l.estimateLocked(c)
 }
 
-// takesOf is takes for those who hold mu.
-func (l *leave) takesOf(c *call) duration.Estimate {
-	if c.takes == nil {
+// estimateLocked is estimateFor for callers that hold mu.
+func (l *shutdown) estimateLocked(c *call) duration.Estimate {
+	if c.estimate == nil {
 		e := l.estimate(c)
-		c.takes = &e
+		c.estimate = &e
 	}
-	return *c.takes
+	return *c.estimate
 }
 
-// busyUntil returns when all that runs is done at the latest; zero if nothing
-// does.
-func (l *leave) busyUntil() clock.Millis {
-	return l.last(func(e duration.Estimate) clock.Millis { return e.Max })
+// busyUntil returns when all calls in flight have ended at the latest, zero if there are
+// none.
+func (l *shutdown) busyUntil() clock.Millis {
+	return l.lastEnd(func(e duration.Estimate) clock.Millis { return e.Max })
 }
 
-// last returns the last of the ends of all that runs, where an answer takes what
-// of its estimate says.
-func (l *leave) last(of func(duration.Estimate) clock.Millis) clock.Millis {
+// lastEnd returns the latest end of the calls in flight, where duration selects the
+// duration from an estimate.
+func (l *shutdown) lastEnd(duration func(duration.Estimate) clock.Millis) clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var at clock.Millis
-	for c := range l.running {
-		at = max(at, c.start+of(l.takesOf(c)))
+	for c := range l.inFlight {
+		at = max(at, c.start+duration(l.estimateLocked(c)))
 	}
 	return at
 }
 
-// cutOff ends the exchanges of all that runs.
-func (l *leave) cutOff() {
+// abortAll cancels the exchanges of all calls in flight.
+func (l *shutdown) abortAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over.Store(true)
-	for c := range l.running {
+	l.aborting.Store(true)
+	for c := range l.inFlight {
 		c.cancel(errGraceOver)
 	}
 }
 
-// Stop implements peers.Host. The process ends when what runs has ended as it
-// usually does, but not before the balancer has noticed.
+// Stop implements peers.Host. The process ends when the calls in flight have ended, by
+// their typical duration, but not before the load balancer has noticed.
 func (g *Gate) Stop() peers.Stop {
-	since := clock.Millis(g.leave.since.Load())
+	since := clock.Millis(g.shutdown.startedAt.Load())
 	if since == 0 {
 		return peers.Stop{}
 	}
-	busy := g.leave.last(func(e duration.Estimate) clock.Millis { return e.Typical })
+	busy := g.shutdown.lastEnd(func(e duration.Estimate) clock.Millis { return e.Typical })
 	end := max(busy, since+g.bounds().BalancerLag+callers.Quiet)
-	return peers.Stop{Since: since, End: min(end, clock.Millis(g.leave.by.Load()))}
+	return peers.Stop{Since: since, End: min(end, clock.Millis(g.shutdown.endsBy.Load()))}
 }
 
-// drain turns unready at once and answers what comes in nevertheless, since
-// the balancer needs a while to notice. Then it closes idle connections, and
-// ends when all answers are out.
+// drain makes the process unready at once. It still serves new requests, since the load
+// balancer needs some time to notice. Then it closes idle connections and returns when all
+// responses are complete or the grace is over.
 func (g *Gate) drain(srv *callers.Server) {
 	start := g.clk.Now()
 	b := g.bounds()
 	end := start + b.Grace - graceMargin
-	g.leave.since.Store(int64(max(1, start)))
-	g.leave.by.Store(int64(end))
+	g.shutdown.startedAt.Store(int64(max(1, start)))
+	g.shutdown.endsBy.Store(int64(end))
 	g.log.Info("leaving", "cause", "stop", "active", g.active.Load(), "grace_ms", b.Grace)
 	clock.Sleep(context.Background(), min(b.BalancerLag, end-start))
 	g.log.Info("idle_closed", "connections", srv.CloseIdle())
-	g.leave.idleClosed.Store(true)
+	g.shutdown.idleClosed.Store(true)
 	busy := func() bool { return g.active.Load() > 0 }
-	srv.Drain(end, busy, func() clock.Millis { return clock.Millis(g.leave.tookAt.Load()) })
+	srv.Drain(end, busy, func() clock.Millis { return clock.Millis(g.shutdown.admittedAt.Load()) })
 	left := g.active.Load()
-	g.leave.cutOff()
-	for said := g.clk.Now() + lastWords; (busy() || srv.UnderWay() > 0) && g.clk.Now() < said; {
-		clock.Sleep(context.Background(), lastWords/10)
+	g.shutdown.abortAll()
+	for deadline := g.clk.Now() + finalAnswersTime; (busy() || srv.UnderWay() > 0) && g.clk.Now() < deadline; {
+		clock.Sleep(context.Background(), finalAnswersTime/10)
 	}
 	g.counts.cutAtStop.Add(int(left))
-	// What is still open is closed with the process.
+	// Connections that are still open are closed with the process.
 	srv.Close()
 	g.log.Info("left", "cut_off", left, "took_ms", g.clk.Now()-start)
 }
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -14,55 +14,54 @@
 )
 
 const (
-	// extraShare is the least number of parts into which the extra repeats are
-	// divided, extraLives how many parts there are for each entry that is known: a
-	// part is held before a window, another earned in it, and each process that is
-	// started begins with some.
-	extraShare = 32
-	extraLives = 4
-	// meteredMost bounds the services with counters of their own; the others share
-	// those of otherServices.
-	meteredMost   = 64
-	otherServices = "other"
+	// minRetryParts is the minimum number of parts into which the extra retries are divided.
+	// retryPartsPerEntry is the number of parts for each known entry: one is held before a
+	// window, another is earned in it, and each process that is started begins with some.
+	minRetryParts      = 32
+	retryPartsPerEntry = 4
+	// maxMeteredServices is the maximum number of services with their own counters. The
+	// others share the counters of otherServices.
+	maxMeteredServices = 64
+	otherServices      = "other"
 )
 
-// grant says whether another attempt may follow one that ended, and why.
+// grant is the decision whether another attempt may follow one that ended.
 type grant string
 
 const (
-	// grantNone: the request may not go to another engine, whatever the budget.
+	// grantNone means that the request may not go to another engine, whatever the budget.
 	grantNone grant = "none"
-	// grantFree: nothing of the attempt arrived, so the next is no repeat.
+	// grantFree means that the attempt did not reach the engine, so the next is no retry.
 	grantFree grant = "free"
-	// grantSpent: a repeat was taken from the budget.
+	// grantSpent means that a retry was taken from the budget.
 	grantSpent grant = "spent"
-	// grantDenied: the budget had none left.
+	// grantDenied means that the budget was used up.
 	grantDenied grant = "denied"
 )
 
 func (a grant) allowed() bool { return a == grantFree || a == grantSpent }
 
-// serviceBudget is the budget of the repeats of a service, with its counters.
+// serviceBudget is the retry budget of a service with its counters.
 type serviceBudget struct {
 	*budget.Budget
 	requests, spent, denied *metrics.Counter
-	// told is how many repeats had been asked for when the log was last told.
-	told uint64
+	// loggedRetries is the number of retries, granted or denied, when they were last logged.
+	loggedRetries uint64
 }
 
-// budget returns the budget of a service. The caller holds mu.
+// budget returns the retry budget of a service. The caller holds mu.
 func (g *Gate) budget(service string) *serviceBudget {
 	bounds := g.bounds()
 	cfg := budget.Config{
-		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.began,
-		Extra: bounds.RetryExtra / float64(max(extraShare, extraLives*g.mostEntries)),
+		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.startedAt,
+		Extra: bounds.RetryExtra / float64(max(minRetryParts, retryPartsPerEntry*g.maxEntries)),
 	}
 	if b := g.budgets[service]; b != nil {
 		b.Configure(cfg)
 		return b
 	}
 	label := service
-	if len(g.budgets) >= meteredMost {
+	if len(g.budgets) >= maxMeteredServices {
 		label = otherServices
 	}
 	b := &serviceBudget{
@@ -75,7 +74,7 @@
 	return b
 }
 
-// countRequest lets the budget grow with each request.
+// countRequest counts a request for the retry budget of its service.
 func (g *Gate) countRequest(c *call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -84,9 +83,9 @@
 	b.requests.Inc()
 }
 
-// grantRepeat takes a repeat from the budget of a service, unless nothing of the attempt
-// that ended arrived.
-func (g *Gate) grantRepeat(service string, o attempt.Outcome, now clock.Millis) grant {
+// grantRetry takes a retry from the budget of a service, unless the ended attempt did not
+// reach its engine.
+func (g *Gate) grantRetry(service string, o attempt.Outcome, now clock.Millis) grant {
 	if _, ok := o.(attempt.Unsent); ok {
 		return grantFree
 	}
@@ -101,8 +100,8 @@
 	return grantSpent
 }
 
-// logRepeats tells of each budget that was asked for repeats since it was last told of.
-func (g *Gate) logRepeats() {
+// logRetries logs each budget with new retries since it was last logged.
+func (g *Gate) logRetries() {
 	now := g.clk.Now()
 	bounds := g.bounds()
 	g.mu.Lock()
@@ -110,10 +109,10 @@
 	for _, service := range slices.Sorted(maps.Keys(g.budgets)) {
 		b := g.budgets[service]
 		u := b.Usage(now)
-		if b.told == u.Spent+u.Denied {
+		if b.loggedRetries == u.Spent+u.Denied {
 			continue
 		}
-		b.told = u.Spent + u.Denied
+		b.loggedRetries = u.Spent + u.Denied
 		g.log.Info("repeats", "service", service, "requests", u.Requests, "spent", u.Spent, "denied", u.Denied,
 			"least_left", tenths(u.MinRemaining), "ratio", bounds.RetryRatio, "extra", bounds.RetryExtra, "window_ms", bounds.RetryWindow)
 	}
