--- a/link/codec.go
+++ b/link/codec.go
@@ -18,47 +18,47 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// MaxMessage bounds one message in bytes: a configuration value of a megabyte
-// or a request body, base64-encoded, with its envelope.
+// MaxMessage limits one message in bytes. It fits a configuration value of a megabyte or
+// a request body, base64-encoded, with its envelope.
 const MaxMessage = 12 << 20
 
 // format is the first byte of a message.
 type format byte
 
 const (
-	// formatRPC is a JSON-RPC 2.0 object.
+	// formatRPC marks a JSON-RPC 2.0 object.
 	formatRPC format = 'j'
-	// formatFrame is a piece of an answer as MessagePack. Answers are most of
-	// the messages; as JSON-RPC notifications they cost several times more.
+	// formatFrame marks a part of a response, as MessagePack. Most messages are frames,
+	// and as JSON-RPC notifications they cost several times more.
 	formatFrame format = 'f'
 )
 
-// stream carries messages of both formats over one connection, each behind
-// its length. It refuses oversize ones and counts the bytes of control
-// traffic by kind, in both directions.
+// stream carries messages of both formats over one connection, each prefixed with its
+// length. It rejects messages over MaxMessage and counts the bytes of control traffic by
+// kind, in both directions.
 type stream struct {
 	conn  io.Closer
 	r     *bufio.Reader
 	class Class
-	// frame takes the frames, in order with the other messages.
+	// frame handles received frames, in order with the other messages.
 	frame func(wire.Frame)
 
 	mu  sync.Mutex
 	w   *bufio.Writer
 	buf bytes.Buffer
 	enc *msgpack.Encoder
-	// flushDue is true while frames wait for a flush that is due.
+	// flushDue is true while frames are buffered and a flush is scheduled.
 	flushDue bool
-	// flushErr is the error of a flush that nobody waited for.
+	// flushErr is the error of the latest scheduled flush.
 	flushErr error
 }
 
-// writeBuffer is the size of the buffer for messages on their way out, in
-// bytes. Control messages are small and their connections many.
+// writeBuffer is the size in bytes of the buffer for outgoing messages. Control messages
+// are small and their connections many.
 var writeBuffer = map[Class]int{Data: 32 << 10, Control: 2 << 10}
 
-// flushDelay is how long a frame that is not an answer's first may wait for
-// others of the same connection, so that they go in one write.
+// flushDelay is how long a frame that does not begin a response may be buffered, so that
+// several frames of a connection go in one write.
 const flushDelay clock.Millis = 1
 
 var _ jsonrpc2.ObjectStream = (*stream)(nil)
@@ -88,8 +88,8 @@
 	return s.w.Flush()
 }
 
-// WriteFrame sends a frame: the first of an answer at once, others with those
-// that come within a moment. An error may be told with a later frame.
+// WriteFrame sends a frame. The first frame of a response is flushed at once, others
+// after flushDelay. The error of a delayed flush is returned for a later frame.
 func (s *stream) WriteFrame(f wire.Frame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// flush sends the frames that were gathered.
+// flush sends the buffered frames.
 func (s *stream) flush() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	s.flushErr = s.w.Flush()
 }
 
-// write puts one message in the buffer; the caller holds mu.
+// write adds one message to the buffer. The caller holds mu.
 func (s *stream) write(f format, data []byte) error {
 	if len(data) > MaxMessage {
 		return fmt.Errorf("encode message: %d bytes exceed the limit of %d", len(data), MaxMessage)
@@ -136,8 +136,8 @@
 	return err
 }
 
-// ReadObject implements jsonrpc2.ObjectStream. Frames that come first are
-// delivered on the way.
+// ReadObject implements jsonrpc2.ObjectStream. It passes the frames that come before the
+// next object to s.frame.
 func (s *stream) ReadObject(v any) error {
 	for {
 		f, data, err := s.read()
@@ -182,11 +182,11 @@
 
 var methodPrefix = []byte(`"method":"`)
 
-// methodSearchLen is how far into a message its method is looked for; the library
-// writes the keys of the envelope in alphabetic order.
+// methodSearchLen is how many bytes of a message are searched for its method. The library
+// writes the keys of the envelope in alphabetical order.
 const methodSearchLen = 160
 
-// kindOf finds the method of an encoded message; answers have none.
+// kindOf returns the method of an encoded message, or "reply" if it has none.
 func kindOf(data []byte) string {
 	head := data[:min(len(data), methodSearchLen)]
 	i := bytes.Index(head, methodPrefix)
@@ -209,10 +209,10 @@
 	metrics.GetOrCreateCounter(name).Add(len(data))
 }
 
-// controlMetric is the name of the counters of control bytes.
+// controlMetric is the name of the counters of control traffic.
 const controlMetric = "weldfall_control_bytes_total"
 
-// ControlRate returns the control bytes a second since the start of the
+// ControlRate returns the bytes of control traffic a second since the start of the
 // process, by direction and kind.
 func ControlRate(now clock.Millis) map[string]float64 {
 	out := map[string]float64{}
--- a/link/link.go
+++ b/link/link.go
@@ -1,5 +1,5 @@
-// Package link keeps the JSON-RPC connections between the processes of the
-// fleet: it dials on demand, serves, counts control bytes and notices silent
+// Package link manages the JSON-RPC connections between the processes of the fleet. It
+// dials on demand, serves, counts the bytes of control traffic and closes silent
 // connections.
 package link
 
@@ -21,7 +21,7 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// Class separates connections that carry requests from those for control.
+// Class separates connections for requests from those for control traffic.
 type Class string
 
 const (
@@ -29,51 +29,51 @@
 	Control Class = "control"
 )
 
-// PingPeriod is how often a side with work in flight shows that it is alive.
+// PingPeriod is how often a side with requests in flight sends a ping.
 const PingPeriod clock.Millis = 500
 
-// SilenceLimit is how long a connection with work in flight may be silent
-// before it counts as broken.
+// SilenceLimit is how long a connection with requests in flight may be silent before it
+// is closed.
 const SilenceLimit clock.Millis = 2500
 
-// dialTimeout bounds the set-up of a connection.
+// dialTimeout limits the setup of a connection.
 const dialTimeout clock.Millis = 1000
 
-// Handler takes the messages of a connection.
+// Handler handles the messages of a connection.
 type Handler interface {
-	// Call answers a request; it runs in a goroutine of its own.
+	// Call answers a request. Each call runs in its own goroutine.
 	Call(ctx context.Context, c *Conn, method string, params json.RawMessage) (any, error)
-	// Notify takes a notification; notifications come one at a time and in
+	// Notify handles a notification. Notifications are delivered one at a time and in
 	// order, so it must not block.
 	Notify(c *Conn, method string, params json.RawMessage)
-	// Frame takes a piece of an answer, in order with the notifications.
+	// Frame handles a part of a response, in order with the notifications.
 	Frame(f wire.Frame)
 }
 
-// Conn is one connection between two processes.
+// Conn is a connection between two processes.
 type Conn struct {
 	rpc    *jsonrpc2.Conn
 	stream *stream
 	clk    *clock.Clock
 	// receivedAt is the time of the latest message from the other side.
 	receivedAt atomic.Int64
-	// inFlight counts the requests in flight that want the connection watched.
+	// inFlight counts the requests for which the connection is watched.
 	inFlight atomic.Int64
-	// peerBoot is set before a dialed connection is handed out.
-	peerBoot uint64
+	// peerBootID is the peer's boot ID. It is set before a dialed connection is returned.
+	peerBootID uint64
 }
 
-// PeerBootID returns the random number of the process at the other end of a
-// dialed connection; it changes when that process restarts.
-func (c *Conn) PeerBootID() uint64 { return c.peerBoot }
+// PeerBootID returns the boot ID of the process at the other end of a dialed connection.
+// It changes when that process restarts.
+func (c *Conn) PeerBootID() uint64 { return c.peerBootID }
 
-// boot is the random number of this process.
-var boot = max(1, rand.Uint64())
+// bootID is the boot ID of this process.
+var bootID = max(1, rand.Uint64())
 
-// BootID returns the random number of this process.
-func BootID() uint64 { return boot }
+// BootID returns the random ID that this process chose at its start.
+func BootID() uint64 { return bootID }
 
-// Call sends a request and waits for its answer or for ctx.
+// Call sends a request and waits for its answer until ctx is done.
 func (c *Conn) Call(ctx context.Context, method string, params, result any) error {
 	if err := c.rpc.Call(ctx, method, params, result); err != nil {
 		return fmt.Errorf("call %s: %w", method, err)
@@ -81,18 +81,17 @@
 	return nil
 }
 
-// Notify sends a message that has no answer.
+// Notify sends a message without an answer.
 func (c *Conn) Notify(method string, params any) error {
 	return c.rpc.Notify(context.Background(), method, params)
 }
 
-// SendFrame sends a piece of an answer.
+// SendFrame sends a part of a response.
 func (c *Conn) SendFrame(f wire.Frame) error { return c.stream.WriteFrame(f) }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// ended reports whether the connection has ended.
 func (c *Conn) ended() bool {
 	select {
 	case <-c.Done():
@@ -102,14 +101,14 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
-// silentSince reports whether nothing came from the other side since the given time.
+// silentSince reports whether nothing was received since the given time.
 func (c *Conn) silentSince(since clock.Millis) bool { return clock.Millis(c.receivedAt.Load()) < since }
 
-// Watch marks one more request in flight until the returned function is
-// called. A watched connection that stays silent is closed.
+// Watch counts a request as in flight until release is called. Meanwhile the connection
+// is closed if it stays silent for SilenceLimit.
 func (c *Conn) Watch() (release func()) {
 	if c.inFlight.Add(1) == 1 {
 		c.receivedAt.Store(int64(c.clk.Now()))
@@ -117,7 +116,7 @@
 	return sync.OnceFunc(func() { c.inFlight.Add(-1) })
 }
 
-// monitor pings while requests are in flight and closes a silent connection.
+// monitor pings while requests are in flight and closes the connection if it is silent.
 func (c *Conn) monitor() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -137,7 +136,7 @@
 	})
 }
 
-// adapter turns the library's callbacks into calls of a Handler.
+// adapter passes the library's callbacks to a Handler.
 type adapter struct {
 	conn  *Conn
 	ready chan struct{}
@@ -150,7 +149,7 @@
 func (a *adapter) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	<-a.ready
 	if req.Method == wire.MethodHello && !req.Notif {
-		_ = rpc.Reply(ctx, req.ID, wire.Hello{BootID: boot})
+		_ = rpc.Reply(ctx, req.ID, wire.Hello{BootID: bootID})
 		return
 	}
 	var params json.RawMessage
@@ -192,11 +191,11 @@
 	return c
 }
 
-// classByte is the first byte that a dialer sends, so that both ends count
-// the same connection in the same class.
+// classByte is the first byte that a dialer sends, so that both ends count the traffic of
+// a connection in the same class.
 var classByte = map[Class]byte{Data: 'd', Control: 'c'}
 
-// Pool dials connections on demand and keeps one to each address and class.
+// Pool dials connections on demand and keeps one for each address and class.
 type Pool struct {
 	clk *clock.Clock
 	h   Handler
@@ -214,17 +213,17 @@
 	once sync.Once
 	conn *Conn
 	err  error
-	// live is conn once it is dialed, for those who do not wait for that.
+	// live is conn once it is dialed, for readers that do not wait for once.
 	live atomic.Pointer[Conn]
 }
 
-// NewPool returns a pool whose connections deliver messages to h.
+// NewPool returns a pool whose connections pass messages to h.
 func NewPool(clk *clock.Clock, h Handler) *Pool {
 	return &Pool{clk: clk, h: h, conns: map[poolKey]*poolEntry{}}
 }
 
-// Get returns the live connection to addr, or dials one. One on which nothing was heard
-// since this instance was suspended may have died meanwhile, and is closed.
+// Get returns the open connection to addr, or dials one. A connection that was silent
+// since this instance was suspended may be dead and is replaced.
 func (p *Pool) Get(addr string, class Class) (*Conn, error) {
 	key := poolKey{addr, class}
 	for {
@@ -239,7 +238,7 @@
 		if !e.conn.ended() {
 			return e.conn, nil
 		}
-		// It has just ended, and whoever is told of it has not run yet.
+		// The connection has just ended, and the goroutine that drops it has not run yet.
 		p.drop(key, e)
 	}
 }
@@ -293,16 +292,16 @@
 		c.Close()
 		return nil, fmt.Errorf("dial %s: %w", addr, err)
 	}
-	c.peerBoot = hello.BootID
+	c.peerBootID = hello.BootID
 	return c, nil
 }
 
-// CloseSilent closes the connections on which nothing was heard since the
-// given time, and returns how many.
+// CloseSilent closes the connections without received data since the given time and
+// returns how many it closed.
 func (p *Pool) CloseSilent(since clock.Millis) int {
 	n := 0
 	for _, e := range p.entries() {
-		// A connection that is being dialed is not waited for.
+		// Connections that are being dialed are skipped.
 		if c := e.live.Load(); c != nil && c.silentSince(since) {
 			c.Close()
 			n++
@@ -321,7 +320,7 @@
 	return entries
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	for _, e := range p.entries() {
 		e.once.Do(func() { e.err = net.ErrClosed })
@@ -331,19 +330,19 @@
 	}
 }
 
-// Serve accepts connections on ln until ctx is done, and then closes them. One
-// on which nothing comes for as long as rest is closed, since the end of a
-// silent connection does not come through; zero lets them rest for ever.
-func Serve(ctx context.Context, ln net.Listener, clk *clock.Clock, h Handler, rest clock.Millis) error {
+// Serve accepts connections on ln until ctx is done, and then closes them. A connection
+// without received data for idleTimeout is closed, since the end of a silent connection is not
+// reported. Zero keeps idle connections open.
+func Serve(ctx context.Context, ln net.Listener, clk *clock.Clock, h Handler, idleTimeout clock.Millis) error {
 	open := &acceptedConns{conns: map[*Conn]bool{}}
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
 	defer open.closeIf(func(*Conn) bool { return true })
-	if rest > 0 {
+	if idleTimeout > 0 {
 		sweepCtx, stopSweep := context.WithCancel(ctx)
 		defer stopSweep()
-		go clock.Every(sweepCtx, max(1, rest/2), func() {
-			since := clk.Now() - rest
+		go clock.Every(sweepCtx, max(1, idleTimeout/2), func() {
+			since := clk.Now() - idleTimeout
 			open.closeIf(func(c *Conn) bool { return c.silentSince(since) })
 		})
 	}
@@ -369,7 +368,7 @@
 	}
 }
 
-// readClass reads the first byte of a connection. A dialer sends it at once.
+// readClass reads the class byte of a new connection, which a dialer sends at once.
 func readClass(nc net.Conn) (Class, error) {
 	var b [1]byte
 	// SetReadDeadline fails only on a closed connection, which the read reports.
@@ -384,8 +383,7 @@
 	return Data, nil
 }
 
-// acceptedConns are the connections that a server has accepted. It is safe for
-// concurrent use.
+// acceptedConns are the open connections of a server. It is safe for concurrent use.
 type acceptedConns struct {
 	mu    sync.Mutex
 	conns map[*Conn]bool
