--- a/callers/chats/chats.go
+++ b/callers/chats/chats.go
@@ -18,12 +18,12 @@
 
 // Headers that callers may send and get.
 const (
-	HeaderChat       = "Weldfall-Chat"
-	HeaderRepeatable = "Weldfall-Repeatable"
-	HeaderKey        = "Idempotency-Key"
-	HeaderRequest    = "X-Request-Id"
-	HeaderVerdict    = "Weldfall-Verdict"
-	HeaderHint       = "Weldfall-Hint"
+	HeaderChat           = "Weldfall-Chat"
+	HeaderRepeatable     = "Weldfall-Repeatable"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderVerdict        = "Weldfall-Verdict"
+	HeaderHint           = "Weldfall-Hint"
 )
 
 const (
@@ -80,10 +80,10 @@
 // Model returns the model that is asked.
 func (t Turn) Model() string { return t.body.Model }
 
-// Stream reports whether the answer is to come as a stream, and WantUsage whether the
+// WantsStream reports whether the answer is to come as a stream, and WantUsage whether the
 // usage is to come in it.
-func (t Turn) Stream() bool    { return t.body.Stream }
-func (t Turn) WantUsage() bool { return t.body.StreamOptions.IncludeUsage }
+func (t Turn) WantsStream() bool { return t.body.Stream }
+func (t Turn) WantsUsage() bool  { return t.body.StreamOptions.IncludeUsage }
 
 // Cost estimates a request with a body of so many bytes, in tokens.
 func (t Turn) Cost(bodyBytes int) int {
@@ -94,10 +94,10 @@
 	return 1 + bodyBytes/bytesPerToken + answer
 }
 
-// Chat identifies the chat of a workspace: by the explicit header, else by the
+// ChatKey identifies the chat of a workspace: by the explicit header, else by the
 // protocol's own field, else by what stays the same in all turns, the messages up to
 // the first of the user. returning is true if the messages show an earlier turn.
-func (t Turn) Chat(workspace string, h http.Header) (key uint64, returning bool) {
+func (t Turn) ChatKey(workspace string, h http.Header) (key uint64, returning bool) {
 	var opening xxh3.Hasher
 	opened := false
 	for _, m := range t.body.Messages {
@@ -122,8 +122,8 @@
 
 func (t Turn) name(h http.Header) string { return cmp.Or(h.Get(HeaderChat), t.body.CacheKey) }
 
-// Bearer returns the key of the caller.
-func Bearer(h http.Header) (string, *verdict.Error) {
+// BearerKey returns the key of the caller.
+func BearerKey(h http.Header) (string, *verdict.Error) {
 	key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if !ok {
 		return "", verdict.New(verdict.NotRun, verdict.Unauthorized, "no bearer key: send Authorization: Bearer KEY")
@@ -136,7 +136,7 @@
 func Repeatable(h http.Header, bySettings bool) (bool, *verdict.Error) {
 	mark := h.Get(HeaderRepeatable)
 	if mark == "" {
-		return bySettings && h.Get(HeaderKey) == "", nil
+		return bySettings && h.Get(HeaderIdempotencyKey) == "", nil
 	}
 	marked, err := strconv.ParseBool(mark)
 	if err != nil {
--- a/callers/chats/chats_test.go
+++ b/callers/chats/chats_test.go
@@ -49,16 +49,16 @@
 		"the header goes before the field":    {a: first, b: `{"prompt_cache_key":"c","messages":[{"role":"user","content":"x"}]}`, ha: header(chats.HeaderChat, "d"), hb: header(chats.HeaderChat, "d"), same: true},
 		"an opening is not what a key may be": {a: first, b: `{"prompt_cache_key":"hello","messages":[{"role":"user","content":"hello"}]}`},
 	} {
-		a, _ := parse(t, tc.a).Chat("w"+tc.wa, tc.ha)
-		b, _ := parse(t, tc.b).Chat("w"+tc.wb, tc.hb)
+		a, _ := parse(t, tc.a).ChatKey("w"+tc.wa, tc.ha)
+		b, _ := parse(t, tc.b).ChatKey("w"+tc.wb, tc.hb)
 		if got := a == b; got != tc.same {
 			t.Errorf("%s: got one key %v, want %v", name, got, tc.same)
 		}
 	}
-	if _, returning := parse(t, first).Chat("w", nil); returning {
+	if _, returning := parse(t, first).ChatKey("w", nil); returning {
 		t.Error("got a returning chat for a first turn")
 	}
-	if _, returning := parse(t, second).Chat("w", nil); !returning {
+	if _, returning := parse(t, second).ChatKey("w", nil); !returning {
 		t.Error("got a new chat for a second turn")
 	}
 }
@@ -82,8 +82,8 @@
 
 func TestATurnIsWhatItsBodySays(t *testing.T) {
 	turn := parse(t, `{"model":"m","stream":true,"stream_options":{"include_usage":true},"max_tokens":7,"messages":[{"role":"user","content":"x"}]}`)
-	if turn.Model() != "m" || !turn.Stream() || !turn.WantUsage() {
-		t.Errorf("got model %q, stream %v, usage %v, want m and both", turn.Model(), turn.Stream(), turn.WantUsage())
+	if turn.Model() != "m" || !turn.WantsStream() || !turn.WantsUsage() {
+		t.Errorf("got model %q, stream %v, usage %v, want m and both", turn.Model(), turn.WantsStream(), turn.WantsUsage())
 	}
 	if got, want := turn.Cost(400), 1+100+7; got != want {
 		t.Errorf("got %d tokens, want %d", got, want)
@@ -100,7 +100,7 @@
 func TestBadInputNamesItsRemedy(t *testing.T) {
 	_, notChat := chats.Parse([]byte(`{"messages":1}`))
 	_, noMessages := chats.Parse([]byte(`{}`))
-	_, noKey := chats.Bearer(header("Authorization", "Basic x"))
+	_, noKey := chats.BearerKey(header("Authorization", "Basic x"))
 	_, mark := chats.Repeatable(header(chats.HeaderRepeatable, "perhaps"), true)
 	for text, err := range map[string]*verdict.Error{
 		"no chat request": notChat, "messages": noMessages, "Authorization: Bearer": noKey, "true or false": mark,
@@ -119,8 +119,8 @@
 	}{
 		"by the settings":                  {bySettings: true, want: true},
 		"not by the settings":              {},
-		"a key goes before the settings":   {h: header(chats.HeaderKey, "k"), bySettings: true},
-		"a mark goes before the key":       {h: header(chats.HeaderKey, "k", chats.HeaderRepeatable, "true"), want: true},
+		"a key goes before the settings":   {h: header(chats.HeaderIdempotencyKey, "k"), bySettings: true},
+		"a mark goes before the key":       {h: header(chats.HeaderIdempotencyKey, "k", chats.HeaderRepeatable, "true"), want: true},
 		"a mark goes before the settings":  {h: header(chats.HeaderRepeatable, "false"), bySettings: true},
 		"a mark with another way to write": {h: header(chats.HeaderRepeatable, "1"), want: true},
 	} {
--- a/callers/chats/failures.go
+++ b/callers/chats/failures.go
@@ -25,10 +25,10 @@
 	RetryAfterMS clock.Millis `json:"retry_after_ms,omitempty"`
 }
 
-// Style is how failures are told: the protocol's own error, with the verdict.
-var Style = failure.Style{
-	Statuses: failure.Statuses{
-		Always: map[verdict.Reason]int{
+// FailureFormat is how failures are told: the protocol's own error, with the verdict.
+var FailureFormat = failure.Format{
+	StatusCodes: failure.StatusCodes{
+		ByReason: map[verdict.Reason]int{
 			verdict.BadRequest:     http.StatusBadRequest,
 			verdict.Unauthorized:   http.StatusUnauthorized,
 			verdict.UnknownModel:   http.StatusNotFound,
@@ -45,22 +45,22 @@
 			verdict.Unreachable:    http.StatusServiceUnavailable,
 			verdict.HeldBack:       http.StatusServiceUnavailable,
 		},
-		NotRun: http.StatusBadGateway, Otherwise: http.StatusBadGateway,
+		NotRun: http.StatusBadGateway, Default: http.StatusBadGateway,
 	},
 	Body: func(f failure.Failure) any {
 		return errorBody{errorDetail{
-			Message: f.Stage + ": " + f.Err.Message(), Type: "weldfall_error", Code: f.Err.Reason(),
-			Verdict: f.Err.Verdict(), Request: f.Request, RetryAfterMS: f.Err.RetryAfter(),
+			Message: f.Filter + ": " + f.Err.Message(), Type: "weldfall_error", Code: f.Err.Reason(),
+			Verdict: f.Err.Verdict(), Request: f.RequestID, RetryAfterMS: f.Err.RetryAfter(),
 		}}
 	},
 	Header: func(h http.Header, f failure.Failure) {
-		h.Set(HeaderRequest, f.Request)
+		h.Set(HeaderRequestID, f.RequestID)
 		h.Set(HeaderVerdict, string(f.Err.Verdict()))
 		if back := f.Err.RetryAfter(); back > 0 {
 			h.Set("Retry-After", strconv.FormatInt(int64(back+999)/1000, 10))
 			h.Set("Retry-After-Ms", strconv.FormatInt(int64(back), 10))
 		}
-		if f.Err.Verdict() == verdict.MayHaveRun && f.Once {
+		if f.Err.Verdict() == verdict.MayHaveRun && f.AtMostOnce {
 			// Clients that retry on their own must not repeat this one.
 			h.Set("X-Should-Retry", "false")
 		}
--- a/callers/conns.go
+++ b/callers/conns.go
@@ -38,9 +38,9 @@
 	return c
 }
 
-// Follow has left called once if the caller of a request leaves, or has left, until
+// OnDisconnect has left called once if the caller of a request leaves, or has left, until
 // done is called. The context is that of the request.
-func Follow(ctx context.Context, left func(cause error)) (done func()) {
+func OnDisconnect(ctx context.Context, left func(cause error)) (done func()) {
 	c := connOf(ctx)
 	if c == nil {
 		return func() {}
@@ -49,8 +49,8 @@
 	return func() { c.follow(nil) }
 }
 
-// TellSilentBody says that a part of the body of a request never came.
-func TellSilentBody(ctx context.Context) {
+// RecordBodyTimeout says that a part of the body of a request never came.
+func RecordBodyTimeout(ctx context.Context) {
 	if c := connOf(ctx); c != nil {
 		c.server.tellSilent(c.RemoteAddr().String(), inBody)
 	}
@@ -131,11 +131,11 @@
 	return n
 }
 
-// UnderWay returns on how many connections a request is under way, or may be: it
+// ActiveConns returns on how many connections a request is under way, or may be: it
 // is on its way to a new connection, or the reader of one that is to be closed has
 // not looked yet. The library writes the end of an answer after the handler has
 // returned, so that no handler runs does not say so.
-func (s *Server) UnderWay() int {
+func (s *Server) ActiveConns() int {
 	n := 0
 	for _, c := range s.list() {
 		c.mu.Lock()
@@ -242,7 +242,7 @@
 // between connection and request, a stopping process that looks each drainPeriod
 // reset one of five callers at 10 ms, and all from 50 ms on. The caller holds mu.
 func (c *conn) isNew() bool {
-	return !c.used && c.server.cfg.Clock.Now()-c.since < Quiet
+	return !c.used && c.server.cfg.Clock.Now()-c.since < QuietPeriod
 }
 
 // keep takes back that the connection is to be closed. The caller holds mu.
--- a/callers/ending.go
+++ b/callers/ending.go
@@ -15,22 +15,22 @@
 	identity         = "identity"
 )
 
-// UntilClose has an answer end with its connection, as one does of which nobody says whether
+// SetUntilClose has an answer end with its connection, as one does of which nobody says whether
 // it is complete. The head must not have been written yet. Until the handler returns the
 // connection ends with a reset, also if the process does.
-func UntilClose(w http.ResponseWriter, r *http.Request) {
+func SetUntilClose(w http.ResponseWriter, r *http.Request) {
 	h := w.Header()
 	h.Del("Content-Length")
 	h.Set(transferEncoding, identity)
 	connOf(r.Context()).resetUnlessDone()
 }
 
-// BreakOff ends the handler of a request in the middle of its answer, so that the caller
+// Abort ends the handler of a request in the middle of its answer, so that the caller
 // cannot take it for whole. Where only the end of the connection ends the answer, the
 // connection is reset.
-func BreakOff(w http.ResponseWriter, r *http.Request) {
+func Abort(w http.ResponseWriter, r *http.Request) {
 	c := connOf(r.Context())
-	if Framing(w, r) == framing.UntilClose {
+	if ResponseFraming(w, r) == framing.UntilClose {
 		c.resetUnlessDone()
 	} else {
 		c.done(w, r)
@@ -39,9 +39,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Framing returns how the answer to a request is framed whose head is about to be written,
+// ResponseFraming returns how the answer to a request is framed whose head is about to be written,
 // or was.
-func Framing(w http.ResponseWriter, r *http.Request) framing.Framing {
+func ResponseFraming(w http.ResponseWriter, r *http.Request) framing.Framing {
 	h := w.Header()
 	switch {
 	case h.Get("Content-Length") != "":
@@ -84,7 +84,7 @@
 		// caller that left needs none.
 		_ = http.NewResponseController(w).Flush()
 	}
-	c.lingers.Store(Framing(w, r) == framing.UntilClose)
+	c.lingers.Store(ResponseFraming(w, r) == framing.UntilClose)
 	c.resets = false
 	c.setLinger(-1)
 }
--- a/callers/ending_test.go
+++ b/callers/ending_test.go
@@ -31,13 +31,13 @@
 		// want is how the caller's reading ends.
 		want error
 	}{
-		{"until close", "1.1", callers.UntilClose, flushed, false, framing.UntilClose, nil},
-		{"until close, at once", "1.1", callers.UntilClose, unflushed, false, framing.UntilClose, nil},
-		{"until close, empty", "1.1", callers.UntilClose, nothing, false, framing.UntilClose, nil},
-		{"until close", "1.0", callers.UntilClose, flushed, false, framing.UntilClose, nil},
-		{"until close, at once", "1.0", callers.UntilClose, unflushed, false, framing.UntilClose, nil},
-		{"until close, broken off", "1.1", callers.UntilClose, flushed, true, framing.UntilClose, syscall.ECONNRESET},
-		{"until close, broken off", "1.0", callers.UntilClose, flushed, true, framing.UntilClose, syscall.ECONNRESET},
+		{"until close", "1.1", callers.SetUntilClose, flushed, false, framing.UntilClose, nil},
+		{"until close, at once", "1.1", callers.SetUntilClose, unflushed, false, framing.UntilClose, nil},
+		{"until close, empty", "1.1", callers.SetUntilClose, nothing, false, framing.UntilClose, nil},
+		{"until close", "1.0", callers.SetUntilClose, flushed, false, framing.UntilClose, nil},
+		{"until close, at once", "1.0", callers.SetUntilClose, unflushed, false, framing.UntilClose, nil},
+		{"until close, broken off", "1.1", callers.SetUntilClose, flushed, true, framing.UntilClose, syscall.ECONNRESET},
+		{"until close, broken off", "1.0", callers.SetUntilClose, flushed, true, framing.UntilClose, syscall.ECONNRESET},
 		{"chunked", "1.1", plain, flushed, false, framing.Chunked, nil},
 		{"chunked, broken off", "1.1", plain, flushed, true, framing.Chunked, io.ErrUnexpectedEOF},
 		{"no chunks in 1.0", "1.0", plain, flushed, false, framing.UntilClose, nil},
@@ -54,7 +54,7 @@
 				if tc.broken {
 					// A reset may overtake what the caller has not read.
 					<-goOn
-					callers.BreakOff(w, r)
+					callers.Abort(w, r)
 				}
 			})
 			nc, r := s.dial()
--- a/callers/failure/failure.go
+++ b/callers/failure/failure.go
@@ -12,27 +12,27 @@
 
 // Failure is a request that failed.
 type Failure struct {
-	// Request is its id, "" if it has none.
-	Request string
-	// Stage is the filter that failed.
-	Stage string
-	Err   *verdict.Error
-	// Once is true if it may run once only.
-	Once bool
+	// RequestID is its id, "" if it has none.
+	RequestID string
+	// Filter is the filter that failed.
+	Filter string
+	Err    *verdict.Error
+	// AtMostOnce is true if it may run once only.
+	AtMostOnce bool
 }
 
-// Statuses are those that an interface gives to failures.
-type Statuses struct {
-	// Always has the reasons that have one whatever the verdict, MayHaveRun those
+// StatusCodes are those that an interface gives to failures.
+type StatusCodes struct {
+	// ByReason has the reasons that have one whatever the verdict, MayHaveRun those
 	// that have one unless the request has not run.
-	Always, MayHaveRun map[verdict.Reason]int
-	// NotRun and Otherwise are those of the rest.
-	NotRun, Otherwise int
+	ByReason, MayHaveRun map[verdict.Reason]int
+	// NotRun and Default are those of the rest.
+	NotRun, Default int
 }
 
-// Of returns the status of a failure.
-func (s Statuses) Of(err *verdict.Error) int {
-	if status, ok := s.Always[err.Reason()]; ok {
+// For returns the status of a failure.
+func (s StatusCodes) For(err *verdict.Error) int {
+	if status, ok := s.ByReason[err.Reason()]; ok {
 		return status
 	}
 	if err.Verdict() == verdict.NotRun {
@@ -41,26 +41,26 @@
 	if status, ok := s.MayHaveRun[err.Reason()]; ok {
 		return status
 	}
-	return s.Otherwise
+	return s.Default
 }
 
-// Style is how an interface of callers tells failures.
-type Style struct {
-	Statuses Statuses
+// Format is how an interface of callers tells failures.
+type Format struct {
+	StatusCodes StatusCodes
 	// Body returns what the body tells, which is encoded as JSON.
 	Body func(f Failure) any
 	// Header sets the headers besides that of the body's type.
 	Header func(h http.Header, f Failure)
 }
 
-// Text returns the body of a failure, also for an answer that has begun.
-func (s Style) Text(f Failure) ([]byte, error) { return json.Marshal(s.Body(f)) }
+// Encode returns the body of a failure, also for an answer that has begun.
+func (s Format) Encode(f Failure) ([]byte, error) { return json.Marshal(s.Body(f)) }
 
 // Prepare sets the headers of a failure and returns its status and body. Nothing is
 // written yet. With an error the status holds all the same, and the body is empty.
-func (s Style) Prepare(h http.Header, f Failure) (status int, body []byte, err error) {
+func (s Format) Prepare(h http.Header, f Failure) (status int, body []byte, err error) {
 	h.Set("Content-Type", "application/json")
 	s.Header(h, f)
-	body, err = s.Text(f)
-	return s.Statuses.Of(f.Err), body, err
+	body, err = s.Encode(f)
+	return s.StatusCodes.For(f.Err), body, err
 }
--- a/callers/failure/failure_test.go
+++ b/callers/failure/failure_test.go
@@ -8,10 +8,10 @@
 )
 
 func TestAStatusFollowsFromReasonAndVerdict(t *testing.T) {
-	s := failure.Statuses{
-		Always:     map[verdict.Reason]int{verdict.BadRequest: 400},
+	s := failure.StatusCodes{
+		ByReason:   map[verdict.Reason]int{verdict.BadRequest: 400},
 		MayHaveRun: map[verdict.Reason]int{verdict.Deadline: 504},
-		NotRun:     503, Otherwise: 502,
+		NotRun:     503, Default: 502,
 	}
 	for _, tc := range []struct {
 		v    verdict.Verdict
@@ -25,7 +25,7 @@
 		{verdict.NotRun, verdict.NoEngine, 503},
 		{verdict.MayHaveRun, verdict.NoEngine, 502},
 	} {
-		if got := s.Of(verdict.New(tc.v, tc.r, "cause")); got != tc.want {
+		if got := s.For(verdict.New(tc.v, tc.r, "cause")); got != tc.want {
 			t.Errorf("%s %s: got %d, want %d", tc.r, tc.v, got, tc.want)
 		}
 	}
--- a/callers/server.go
+++ b/callers/server.go
@@ -23,16 +23,16 @@
 	sweepPeriod clock.Millis = 1000
 	// drainPeriod is how often a stopping process looks whether it may end.
 	drainPeriod clock.Millis = 50
-	// Quiet is how long nothing must have been taken before a stopping process ends,
+	// QuietPeriod is how long nothing must have been taken before a stopping process ends,
 	// once it has closed its idle connections: a few round trips to callers.
-	Quiet clock.Millis = 300
+	QuietPeriod clock.Millis = 300
 )
 
 // Config sets up a Server.
 type Config struct {
 	Handler http.Handler
-	// MaxHeader bounds the head of a request, in bytes.
-	MaxHeader int
+	// MaxHeaderBytes bounds the head of a request, in bytes.
+	MaxHeaderBytes int
 	// Timeouts returns how long a connection may rest, and how long a head may take.
 	Timeouts func() (idle, head clock.Millis)
 	// Link is that of the process, nil if nothing is known of it.
@@ -60,7 +60,7 @@
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, open: map[*conn]bool{}, silent: metrics.GetOrCreateCounter(`weldfall_silent_connections_total{to="caller"}`)}
 	s.http = &http.Server{
-		ConnState: s.state, ConnContext: withConn, Handler: checkLengths(endInOrder(cfg.Handler)), MaxHeaderBytes: cfg.MaxHeader,
+		ConnState: s.state, ConnContext: withConn, Handler: checkLengths(endInOrder(cfg.Handler)), MaxHeaderBytes: cfg.MaxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug),
 	}
 	return s
@@ -83,7 +83,7 @@
 	began := s.cfg.Clock.Now()
 	for s.cfg.Clock.Now() < end {
 		quiet := s.cfg.Clock.Now() - max(began, tookAt())
-		if !busy() && s.UnderWay() == 0 && quiet >= Quiet {
+		if !busy() && s.ActiveConns() == 0 && quiet >= QuietPeriod {
 			return
 		}
 		s.CloseIdle()
--- a/callers/server_test.go
+++ b/callers/server_test.go
@@ -37,7 +37,7 @@
 	}
 	s := &served{t: t, clk: clock.System(), addr: ln.Addr().String(), ended: make(chan struct{})}
 	s.srv = callers.New(callers.Config{
-		Handler: h, MaxHeader: 4096, Clock: s.clk, Log: slog.New(slog.DiscardHandler),
+		Handler: h, MaxHeaderBytes: 4096, Clock: s.clk, Log: slog.New(slog.DiscardHandler),
 		Timeouts: func() (clock.Millis, clock.Millis) { return idle, head },
 	})
 	go func() {
@@ -172,7 +172,7 @@
 			begun := make(chan struct{}, 2)
 			s := serve(t, 60_000, 60_000, func(_ http.ResponseWriter, r *http.Request) {
 				ctx, cancel := context.WithCancelCause(r.Context())
-				defer callers.Follow(ctx, cancel)()
+				defer callers.OnDisconnect(ctx, cancel)()
 				begun <- struct{}{}
 				<-ctx.Done()
 				close(left)
--- a/callers/until_close_test.go
+++ b/callers/until_close_test.go
@@ -17,7 +17,7 @@
 		t.Run(name, func(t *testing.T) {
 			goOn := make(chan struct{})
 			s := serve(t, 60_000, 60_000, func(w http.ResponseWriter, r *http.Request) {
-				callers.UntilClose(w, r)
+				callers.SetUntilClose(w, r)
 				_, _ = io.WriteString(w, "part")
 				_ = http.NewResponseController(w).Flush()
 				<-goOn
@@ -78,7 +78,7 @@
 			release := make(chan struct{})
 			defer close(release)
 			s := serve(t, 60_000, 60_000, func(w http.ResponseWriter, r *http.Request) {
-				callers.UntilClose(w, r)
+				callers.SetUntilClose(w, r)
 				_, _ = io.WriteString(w, "part")
 				_ = http.NewResponseController(w).Flush()
 				<-release
--- a/daemon/target/target_test.go
+++ b/daemon/target/target_test.go
@@ -69,7 +69,7 @@
 	const prefix = `{"hashes":[1,2,3],"tokens":30}`
 	for n := range len(prefix) {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			callers.UntilClose(w, r)
+			callers.SetUntilClose(w, r)
 			_, _ = w.Write([]byte(prefix[:n]))
 		}))
 		if got, err := target.New(srv.Listener.Addr().String()).Export(t.Context(), "1"); err == nil {
--- a/entry/account.go
+++ b/entry/account.go
@@ -60,7 +60,7 @@
 			ev.BetweenTokensMS = float64(c.lastMicros-c.firstMicros) / 1000 / float64(c.tokens-1)
 		}
 		ev.InTime = ev.FirstTokenMS <= float64(o.FirstTokenMS) && ev.BetweenTokensMS <= float64(o.BetweenTokensMS)
-		ev.Timed = c.chat.Stream()
+		ev.Timed = c.chat.WantsStream()
 	}
 	e.burn.Observe(ev, burn.Targets{Latency: o.LatencyTarget, Whole: o.WholeTarget, Served: o.ServedTarget}, e.clk.Now())
 }
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -76,11 +76,11 @@
 func claimError(c *call, o once.Outcome) *verdict.Error {
 	switch o := o.(type) {
 	case once.Taken:
-		return verdict.New(verdict.MayHaveRun, verdict.Duplicate, "an earlier attempt has the %s", chats.HeaderKey)
+		return verdict.New(verdict.MayHaveRun, verdict.Duplicate, "an earlier attempt has the %s", chats.HeaderIdempotencyKey)
 	case once.Unknown:
 		return verdict.New(verdict.MayHaveRun, verdict.UnknownHistory,
 			"%d of %d needed witnesses promised the %s, %d were replaced within once.window_ms: this attempt has not run, an earlier one may have",
-			o.Granted, o.Need, chats.HeaderKey, o.Changed).WithRetryAfter(1000)
+			o.Granted, o.Need, chats.HeaderIdempotencyKey, o.Changed).WithRetryAfter(1000)
 	default:
 		return verdict.New(verdict.MayHaveRun, verdict.UnknownHistory, "the claim ended as %T", o)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -181,7 +181,7 @@
 		}
 	})
 	srv := callers.New(callers.Config{
-		Handler: e.handler(), MaxHeader: maxHeader, Clock: e.clk, Log: e.log,
+		Handler: e.handler(), MaxHeaderBytes: maxHeader, Clock: e.clk, Log: e.log,
 		Timeouts: func() (idle, head clock.Millis) { return idleTimeout, headerTimeout },
 	})
 	done := make(chan struct{})
@@ -250,10 +250,10 @@
 		}
 		ctx, cancel := context.WithCancelCause(r.Context())
 		defer cancel(nil)
-		defer callers.Follow(ctx, cancel)()
+		defer callers.OnDisconnect(ctx, cancel)()
 		e.serve(ctx, c)
 		if c.cut {
-			callers.BreakOff(w, r)
+			callers.Abort(w, r)
 		}
 		if c.err == nil {
 			c.finishStream()
@@ -264,7 +264,7 @@
 // unserved is the verdict for a request that no filter has seen. One with a
 // key may repeat another that has run.
 func unserved(r *http.Request) verdict.Verdict {
-	if r.Header.Get(chats.HeaderKey) != "" {
+	if r.Header.Get(chats.HeaderIdempotencyKey) != "" {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
--- a/entry/identify.go
+++ b/entry/identify.go
@@ -18,7 +18,7 @@
 
 // identify finds the workspace by the bearer key; a wrong key goes no further.
 func (e *Entry) identify(ctx context.Context, c *call) *verdict.Error {
-	key, failure := chats.Bearer(c.r.Header)
+	key, failure := chats.BearerKey(c.r.Header)
 	if failure != nil {
 		return failure
 	}
@@ -71,7 +71,7 @@
 		if c.pool == "" {
 			return verdict.New(verdict.NotRun, verdict.UnknownModel, "model %q: not known here; GET /v1/models lists those that are", c.chat.Model())
 		}
-		c.chatKey, c.returning = c.chat.Chat(c.workspacePath(), c.r.Header)
+		c.chatKey, c.returning = c.chat.ChatKey(c.workspacePath(), c.r.Header)
 		c.named = c.chat.Named(c.r.Header)
 		c.hint, c.hintIsOwn = e.hintOf(c)
 	}
@@ -90,16 +90,16 @@
 		return nil
 	}
 	c.once = &wire.Once{Window: c.values.Once.Window()}
-	key := c.r.Header.Get(chats.HeaderKey)
+	key := c.r.Header.Get(chats.HeaderIdempotencyKey)
 	if key == "" {
 		return nil
 	}
 	c.once.Key, c.once.CreatedAt = once.KeyHash(c.workspacePath(), key), once.KeyTime(key)
 	switch {
 	case c.once.CreatedAt == 0 && c.values.Once.TimedKeysOnly:
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the settings ask for a UUID of version 7", chats.HeaderKey)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the settings ask for a UUID of version 7", chats.HeaderIdempotencyKey)
 	case c.once.CreatedAt > e.clk.Wall()+once.MaxClockSkew:
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the time in the key is in the future", chats.HeaderKey)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the time in the key is in the future", chats.HeaderIdempotencyKey)
 	}
 	return nil
 }
--- a/entry/send.go
+++ b/entry/send.go
@@ -142,7 +142,7 @@
 		PartnerShare: v.Fairness.PartnerShare, WorkspaceShare: v.Fairness.WorkspaceShare, Priority: v.Fairness.Priority,
 		Chat:   c.chatKey,
 		Method: c.r.Method, Path: targetPath(c), Header: targetHeader(c.r), Body: c.body,
-		Stream: c.chat.Stream(), WantUsage: c.chat.WantUsage(),
+		Stream: c.chat.WantsStream(), WantUsage: c.chat.WantsUsage(),
 		Cost: c.chat.Cost(len(c.body)), Remaining: c.left(e.clk.Now()), Once: c.once,
 		MeanLoad: mean, LoadBound: v.Routing.LoadBound, LoadFloor: v.Routing.LoadFloor, QueueLimit: v.Limits.QueuePerEngine, Loads: e.node.FreshestLoads(),
 	}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -24,7 +24,7 @@
 }
 
 // passedHeaders go from the caller to the target.
-var passedHeaders = []string{"Content-Type", "Accept", "Accept-Language", chats.HeaderKey}
+var passedHeaders = []string{"Content-Type", "Accept", "Accept-Language", chats.HeaderIdempotencyKey}
 
 func targetHeader(r *http.Request) map[string]string {
 	out := map[string]string{}
@@ -68,9 +68,9 @@
 		header.Set(k, v)
 	}
 	if h.EndsUntilClose() {
-		callers.UntilClose(c.w, c.r)
+		callers.SetUntilClose(c.w, c.r)
 	}
-	header.Set(chats.HeaderRequest, c.id)
+	header.Set(chats.HeaderRequestID, c.id)
 	if c.chatKey != 0 {
 		header.Set(chats.HeaderHint, c.offered)
 	}
@@ -80,7 +80,7 @@
 
 // finishStream writes the end mark of a whole stream.
 func (c *call) finishStream() {
-	if !c.chat.Stream() || !c.headSent {
+	if !c.chat.WantsStream() || !c.headSent {
 		return
 	}
 	if strings.HasPrefix(c.w.Header().Get("Content-Type"), "text/event-stream") {
@@ -101,10 +101,10 @@
 func (e *Entry) respond(c *call, stage string, cause error) {
 	err := verdict.From(cause)
 	c.err = err
-	f := failure.Failure{Request: c.id, Stage: stage, Err: err, Once: c.once != nil}
+	f := failure.Failure{RequestID: c.id, Filter: stage, Err: err, AtMostOnce: c.once != nil}
 	if c.headSent {
-		if c.chat.Stream() {
-			text, perr := chats.Style.Text(f)
+		if c.chat.WantsStream() {
+			text, perr := chats.FailureFormat.Encode(f)
 			e.tellNotEncoded(c, perr)
 			_, _ = c.w.Write([]byte("data: " + string(text) + "\n\n"))
 			_ = http.NewResponseController(c.w).Flush()
@@ -113,7 +113,7 @@
 		c.cut = true
 		return
 	}
-	status, text, perr := chats.Style.Prepare(c.w.Header(), f)
+	status, text, perr := chats.FailureFormat.Prepare(c.w.Header(), f)
 	e.tellNotEncoded(c, perr)
 	c.w.WriteHeader(status)
 	c.headSent = true
--- a/fleet/source/client_test.go
+++ b/fleet/source/client_test.go
@@ -77,7 +77,7 @@
 	const batch = `{"rev":2,"items":[{"key":"a","rev":1,"value":"1"},{"key":"b","rev":2,"value":"2"}]}`
 	for n := range len(batch) {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			callers.UntilClose(w, r)
+			callers.SetUntilClose(w, r)
 			_, _ = w.Write([]byte(batch[:n]))
 		}))
 		got, err := source.New(srv.URL, clock.System()).Changes(t.Context(), source.Config, 0, 0)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -108,7 +108,7 @@
 	log  *slog.Logger
 	wire Dialect
 	// style is how failures are told.
-	style failure.Style
+	style failure.Format
 	// reserved and internal are sets of canonical header names.
 	reserved  map[string]bool
 	internal  map[string]bool
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -123,7 +123,7 @@
 		return peers.Stop{}
 	}
 	busy := g.leave.last(func(e duration.Estimate) clock.Millis { return e.Typical })
-	end := max(busy, since+g.bounds().BalancerLag+callers.Quiet)
+	end := max(busy, since+g.bounds().BalancerLag+callers.QuietPeriod)
 	return peers.Stop{Since: since, End: min(end, clock.Millis(g.leave.by.Load()))}
 }
 
@@ -144,7 +144,7 @@
 	srv.Drain(end, busy, func() clock.Millis { return clock.Millis(g.leave.tookAt.Load()) })
 	left := g.active.Load()
 	g.leave.cutOff()
-	for said := g.clk.Now() + lastWords; (busy() || srv.UnderWay() > 0) && g.clk.Now() < said; {
+	for said := g.clk.Now() + lastWords; (busy() || srv.ActiveConns() > 0) && g.clk.Now() < said; {
 		clock.Sleep(context.Background(), lastWords/10)
 	}
 	g.counts.cutAtStop.Add(int(left))
--- a/gate/relay/reply.go
+++ b/gate/relay/reply.go
@@ -144,10 +144,10 @@
 	case framing.Length:
 		p.cfg.W.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	case framing.UntilClose:
-		callers.UntilClose(p.cfg.W, p.cfg.R)
+		callers.SetUntilClose(p.cfg.W, p.cfg.R)
 	case framing.Chunked:
 	}
-	p.status, p.framed = status, callers.Framing(p.cfg.W, p.cfg.R)
+	p.status, p.framed = status, callers.ResponseFraming(p.cfg.W, p.cfg.R)
 	p.cfg.W.WriteHeader(status)
 }
 
--- a/gate/respond.go
+++ b/gate/respond.go
@@ -18,8 +18,8 @@
 
 // statuses are those of failures. 503 and 429 say that the request did not run; 502
 // and 504 say nothing of the kind.
-var statuses = failure.Statuses{
-	Always: map[verdict.Reason]int{
+var statuses = failure.StatusCodes{
+	ByReason: map[verdict.Reason]int{
 		verdict.BadRequest:     http.StatusBadRequest,
 		verdict.Unauthorized:   http.StatusUnauthorized,
 		verdict.NoRoute:        http.StatusNotFound,
@@ -27,19 +27,19 @@
 		verdict.TooLarge:       http.StatusRequestEntityTooLarge,
 	},
 	MayHaveRun: map[verdict.Reason]int{verdict.Deadline: http.StatusGatewayTimeout},
-	NotRun:     http.StatusServiceUnavailable, Otherwise: http.StatusBadGateway,
+	NotRun:     http.StatusServiceUnavailable, Default: http.StatusBadGateway,
 }
 
 // style returns how failures are told to callers that name requests by a header.
-func style(requestID string) failure.Style {
-	return failure.Style{
-		Statuses: statuses,
+func style(requestID string) failure.Format {
+	return failure.Format{
+		StatusCodes: statuses,
 		Body: func(f failure.Failure) any {
-			return problem{Request: f.Request, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
+			return problem{Request: f.RequestID, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
 		},
 		Header: func(h http.Header, f failure.Failure) {
-			if f.Request != "" {
-				h.Set(requestID, f.Request)
+			if f.RequestID != "" {
+				h.Set(requestID, f.RequestID)
 			}
 			if f.Err.RetryAfter() > 0 && f.Err.Verdict() == verdict.NotRun {
 				h.Set("Retry-After", seconds(f.Err.RetryAfter()))
@@ -55,7 +55,7 @@
 		return
 	}
 	h := c.w.Header()
-	status, body, perr := g.style.Prepare(h, failure.Failure{Request: c.id, Err: err})
+	status, body, perr := g.style.Prepare(h, failure.Failure{RequestID: c.id, Err: err})
 	if perr != nil {
 		g.log.Error("problem_not_encoded", "request", c.id, "error", perr)
 	}
--- a/gate/server.go
+++ b/gate/server.go
@@ -28,10 +28,10 @@
 	defer cancel(nil)
 	c.cancel = cancel
 	defer g.leave.done(c)
-	defer callers.Follow(ctx, cancel)()
+	defer callers.OnDisconnect(ctx, cancel)()
 	g.serve(ctx, c)
 	if c.reply.Aborted() {
-		callers.BreakOff(w, r)
+		callers.Abort(w, r)
 	}
 }
 
@@ -47,7 +47,7 @@
 // flight has finished or the grace is over.
 func (g *Gate) Run(ctx context.Context, ln net.Listener) error {
 	srv := callers.New(callers.Config{
-		Handler: g, MaxHeader: maxHeader, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
+		Handler: g, MaxHeaderBytes: maxHeader, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
 	})
 	sweepCtx, stopSweep := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSweep()
