--- a/callers/conns.go
+++ b/callers/conns.go
@@ -13,27 +13,27 @@
 	"github.com/weldfall/weldfall/common/sock"
 )
 
-// stalled is what a caller did when it fell silent.
-type stalled string
+// phase is what a caller did when it fell silent.
+type phase string
 
 const (
-	// inHead and inBody are a request of which a part never came, inAnswer an
+	// phaseHeader and inBody are a request of which a part never came, inAnswer an
 	// answer that the caller does not take.
-	inHead   stalled = "head"
-	inBody   stalled = "body"
-	inAnswer stalled = "answer"
+	phaseHeader   phase = "head"
+	phaseBody     phase = "body"
+	phaseResponse phase = "answer"
 )
 
 // connKey is the key of a connection in the contexts of its requests.
 type connKey struct{}
 
-// withConn hands the connection to its requests.
-func withConn(ctx context.Context, nc net.Conn) context.Context {
+// contextWithConn hands the connection to its requests.
+func contextWithConn(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// connOf returns the connection of a request, nil if it is not known.
-func connOf(ctx context.Context) *conn {
+// connFromContext returns the connection of a request, nil if it is not known.
+func connFromContext(ctx context.Context) *conn {
 	c, _ := ctx.Value(connKey{}).(*conn)
 	return c
 }
@@ -41,38 +41,38 @@
 // OnDisconnect has left called once if the caller of a request leaves, or has left, until
 // done is called. The context is that of the request.
 func OnDisconnect(ctx context.Context, left func(cause error)) (done func()) {
-	c := connOf(ctx)
+	c := connFromContext(ctx)
 	if c == nil {
 		return func() {}
 	}
-	c.follow(left)
-	return func() { c.follow(nil) }
+	c.setOnDisconnect(left)
+	return func() { c.setOnDisconnect(nil) }
 }
 
 // RecordBodyTimeout says that a part of the body of a request never came.
 func RecordBodyTimeout(ctx context.Context) {
-	if c := connOf(ctx); c != nil {
-		c.server.tellSilent(c.RemoteAddr().String(), inBody)
+	if c := connFromContext(ctx); c != nil {
+		c.server.recordTimeout(c.RemoteAddr().String(), phaseBody)
 	}
 }
 
-// tellSilent counts and logs a caller that fell silent.
-func (s *Server) tellSilent(addr string, what stalled) {
-	s.silent.Inc()
+// recordTimeout counts and logs a caller that fell silent.
+func (s *Server) recordTimeout(addr string, what phase) {
+	s.timeoutsTotal.Inc()
 	s.cfg.Log.Warn("connection_silent", "to", "caller", "state", what, "addr", addr)
 }
 
-// add returns a connection that the server knows from now on.
-func (s *Server) add(nc net.Conn) *conn {
+// track returns a connection that the server knows from now on.
+func (s *Server) track(nc net.Conn) *conn {
 	c := &conn{Conn: nc, server: s, since: s.cfg.Clock.Now()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[c] = true
+	s.conns[c] = true
 	return c
 }
 
-// state is the server's word on what a connection does.
-func (s *Server) state(nc net.Conn, now http.ConnState) {
+// connStateChanged is the server's word on what a connection does.
+func (s *Server) connStateChanged(nc net.Conn, now http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
@@ -82,38 +82,38 @@
 	switch now {
 	case http.StateActive:
 		// A request that came with the one before needs no further read.
-		c.busy, c.headRead = true, true
-		c.keep()
+		c.active, c.headerRead = true, true
+		c.cancelClose()
 	case http.StateIdle:
-		c.busy, c.headRead, c.since = false, false, s.cfg.Clock.Now()
+		c.active, c.headerRead, c.since = false, false, s.cfg.Clock.Now()
 	}
 }
 
-// sweep closes the connections that have rested for too long, and those whose head
+// closeExpired closes the connections that have rested for too long, and those whose head
 // has taken too long to arrive.
-func (s *Server) sweep() {
+func (s *Server) closeExpired() {
 	idle, head := s.cfg.Timeouts()
 	now := s.cfg.Clock.Now()
-	for _, c := range s.list() {
+	for _, c := range s.openConns() {
 		c.mu.Lock()
-		age, busy, headRead := now-c.since, c.busy, c.headRead
+		age, busy, headRead := now-c.since, c.active, c.headerRead
 		c.mu.Unlock()
 		switch {
 		case !busy && age > idle:
 			c.closeIfIdle()
 		case busy && !headRead && age > head:
 			// The caller sent half a head and stalled: it gets no answer.
-			s.tellSilent(c.RemoteAddr().String(), inHead)
+			s.recordTimeout(c.RemoteAddr().String(), phaseHeader)
 			_ = c.Close()
 		}
 	}
 }
 
-func (s *Server) list() []*conn {
+func (s *Server) openConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	open := make([]*conn, 0, len(s.open))
-	for c := range s.open {
+	open := make([]*conn, 0, len(s.conns))
+	for c := range s.conns {
 		open = append(open, c)
 	}
 	return open
@@ -123,7 +123,7 @@
 // how many.
 func (s *Server) CloseIdle() int {
 	n := 0
-	for _, c := range s.list() {
+	for _, c := range s.openConns() {
 		if c.closeIfIdle() {
 			n++
 		}
@@ -137,9 +137,9 @@
 // returned, so that no handler runs does not say so.
 func (s *Server) ActiveConns() int {
 	n := 0
-	for _, c := range s.list() {
+	for _, c := range s.openConns() {
 		c.mu.Lock()
-		if c.busy || c.closing || c.isNew() {
+		if c.active || c.closing || c.awaitsFirstRequest() {
 			n++
 		}
 		c.mu.Unlock()
@@ -153,35 +153,35 @@
 	server *Server
 
 	mu sync.Mutex
-	// busy is true from when a request is known to have come until its answer is
+	// active is true from when a request is known to have come until its answer is
 	// out.
-	busy bool
-	// headRead is true once the head of the request has been read.
-	headRead bool
-	// used is true once a request has come.
-	used bool
+	active bool
+	// headerRead is true once the head of the request has been read.
+	headerRead bool
+	// receivedRequest is true once a request has come.
+	receivedRequest bool
 	// since is when the connection was opened or came to rest or, while it is
 	// busy, when the request's first byte came.
 	since clock.Millis
 	// closing is true while the connection is to be closed for being idle: its
 	// read is interrupted, and the reader closes it if nothing has come.
-	closing bool
-	ahead   aheadOf
-	lengths lengths
-	// resets is true while a request's handler has the connection end with a reset. Only
+	closing   bool
+	pipelined readAheadBuffer
+	framing   framingDetector
+	// resetOnClose is true while a request's handler has the connection end with a reset. Only
 	// the handler's goroutine uses it.
-	resets bool
-	// lingers is true once an answer is out that the end of the connection ends.
-	lingers atomic.Bool
+	resetOnClose bool
+	// lingerOnClose is true once an answer is out that the end of the connection ends.
+	lingerOnClose atomic.Bool
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	n, err := c.takeAhead(p)
+	n, err := c.drainReadAhead(p)
 	for n == 0 && err == nil {
 		n, err = c.Conn.Read(p)
 		c.server.cfg.Link.Came(n)
-		if errors.Is(err, os.ErrDeadlineExceeded) && c.hasMore() {
+		if errors.Is(err, os.ErrDeadlineExceeded) && c.receivedBeforeClose() {
 			err = nil
 		}
 	}
@@ -190,11 +190,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lengths.read(p[:n])
-	c.come()
-	if len(p) == 1 && c.headRead && c.ahead.done == nil && c.ahead.end == nil {
-		c.ahead.done = make(chan struct{})
-		go c.readAhead(c.ahead.done)
+	c.framing.scan(p[:n])
+	c.markActive()
+	if len(p) == 1 && c.headerRead && c.pipelined.done == nil && c.pipelined.err == nil {
+		c.pipelined.done = make(chan struct{})
+		go c.readAhead(c.pipelined.done)
 	}
 	return n, err
 }
@@ -203,7 +203,7 @@
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		c.server.tellSilent(c.RemoteAddr().String(), inAnswer)
+		c.server.recordTimeout(c.RemoteAddr().String(), phaseResponse)
 	}
 	return n, err
 }
@@ -211,11 +211,11 @@
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	c.server.mu.Lock()
-	delete(c.server.open, c)
+	delete(c.server.conns, c)
 	closing := c.server.closing
 	c.server.mu.Unlock()
-	if c.lingers.Load() && !closing {
-		c.linger()
+	if c.lingerOnClose.Load() && !closing {
+		c.closeLingering()
 	}
 	return c.Conn.Close()
 }
@@ -228,7 +228,7 @@
 func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy || c.isNew() {
+	if c.active || c.awaitsFirstRequest() {
 		return false
 	}
 	c.closing = true
@@ -237,25 +237,25 @@
 	return true
 }
 
-// isNew reports whether the connection was opened so lately that its first request
+// awaitsFirstRequest reports whether the connection was opened so lately that its first request
 // may be on its way. Nobody has had the time to let it rest: with one round trip
 // between connection and request, a stopping process that looks each drainPeriod
 // reset one of five callers at 10 ms, and all from 50 ms on. The caller holds mu.
-func (c *conn) isNew() bool {
-	return !c.used && c.server.cfg.Clock.Now()-c.since < QuietPeriod
+func (c *conn) awaitsFirstRequest() bool {
+	return !c.receivedRequest && c.server.cfg.Clock.Now()-c.since < QuietPeriod
 }
 
-// keep takes back that the connection is to be closed. The caller holds mu.
-func (c *conn) keep() {
+// cancelClose takes back that the connection is to be closed. The caller holds mu.
+func (c *conn) cancelClose() {
 	if c.closing {
 		c.closing = false
-		_ = c.Conn.SetReadDeadline(c.ahead.deadline)
+		_ = c.Conn.SetReadDeadline(c.pipelined.deadline)
 	}
 }
 
-// hasMore reports whether a read that was interrupted to close the connection
+// receivedBeforeClose reports whether a read that was interrupted to close the connection
 // has something to read after all.
-func (c *conn) hasMore() bool {
+func (c *conn) receivedBeforeClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closing {
@@ -265,14 +265,14 @@
 	if quiet || err != nil {
 		return false
 	}
-	c.come()
+	c.markActive()
 	return true
 }
 
-// come records that a request has come. The caller holds mu.
-func (c *conn) come() {
-	c.keep()
-	if !c.busy {
-		c.busy, c.used, c.since = true, true, c.server.cfg.Clock.Now()
+// markActive records that a request has markActive. The caller holds mu.
+func (c *conn) markActive() {
+	c.cancelClose()
+	if !c.active {
+		c.active, c.receivedRequest, c.since = true, true, c.server.cfg.Clock.Now()
 	}
 }
--- a/callers/ending.go
+++ b/callers/ending.go
@@ -11,8 +11,8 @@
 // The header by which a handler has the library frame nothing and end the connection after
 // the answer. It is not sent.
 const (
-	transferEncoding = "Transfer-Encoding"
-	identity         = "identity"
+	headerTransferEncoding = "Transfer-Encoding"
+	identity               = "identity"
 )
 
 // SetUntilClose has an answer end with its connection, as one does of which nobody says whether
@@ -21,19 +21,19 @@
 func SetUntilClose(w http.ResponseWriter, r *http.Request) {
 	h := w.Header()
 	h.Del("Content-Length")
-	h.Set(transferEncoding, identity)
-	connOf(r.Context()).resetUnlessDone()
+	h.Set(headerTransferEncoding, identity)
+	connFromContext(r.Context()).resetUntilFinished()
 }
 
 // Abort ends the handler of a request in the middle of its answer, so that the caller
 // cannot take it for whole. Where only the end of the connection ends the answer, the
 // connection is reset.
 func Abort(w http.ResponseWriter, r *http.Request) {
-	c := connOf(r.Context())
+	c := connFromContext(r.Context())
 	if ResponseFraming(w, r) == framing.UntilClose {
-		c.resetUnlessDone()
+		c.resetUntilFinished()
 	} else {
-		c.done(w, r)
+		c.finishResponse(w, r)
 	}
 	// The library closes the connection.
 	panic(http.ErrAbortHandler)
@@ -46,46 +46,46 @@
 	switch {
 	case h.Get("Content-Length") != "":
 		return framing.Length
-	case !r.ProtoAtLeast(1, 1) || h.Get(transferEncoding) == identity:
+	case !r.ProtoAtLeast(1, 1) || h.Get(headerTransferEncoding) == identity:
 		return framing.UntilClose
 	}
 	return framing.Chunked
 }
 
-// endInOrder has h called so that an answer which only the end of the connection ends is told
+// resetUnfinished has h called so that an answer which only the end of the connection ends is told
 // from one that broke off, whatever ends the handler.
-func endInOrder(h http.Handler) http.Handler {
+func resetUnfinished(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := connOf(r.Context())
+		c := connFromContext(r.Context())
 		if !r.ProtoAtLeast(1, 1) {
-			c.resetUnlessDone()
+			c.resetUntilFinished()
 		}
 		h.ServeHTTP(w, r)
-		c.done(w, r)
+		c.finishResponse(w, r)
 	})
 }
 
-// resetUnlessDone has the connection end with a reset until the handler has returned.
-func (c *conn) resetUnlessDone() {
+// resetUntilFinished has the connection end with a reset until the handler has returned.
+func (c *conn) resetUntilFinished() {
 	if c == nil {
 		return
 	}
-	c.resets = true
+	c.resetOnClose = true
 	c.setLinger(0)
 }
 
-// done takes back that the connection ends with a reset.
-func (c *conn) done(w http.ResponseWriter, r *http.Request) {
-	if c == nil || !c.resets {
+// finishResponse takes back that the connection ends with a reset.
+func (c *conn) finishResponse(w http.ResponseWriter, r *http.Request) {
+	if c == nil || !c.resetOnClose {
 		return
 	}
-	if w.Header().Get(transferEncoding) == identity {
+	if w.Header().Get(headerTransferEncoding) == identity {
 		// What the library still holds must not be missing behind an orderly end. A
 		// caller that left needs none.
 		_ = http.NewResponseController(w).Flush()
 	}
-	c.lingers.Store(ResponseFraming(w, r) == framing.UntilClose)
-	c.resets = false
+	c.lingerOnClose.Store(ResponseFraming(w, r) == framing.UntilClose)
+	c.resetOnClose = false
 	c.setLinger(-1)
 }
 
@@ -97,19 +97,19 @@
 }
 
 const (
-	// lingerFor bounds the time in which a caller may take the end of an answer that ends
+	// lingerTimeout bounds the time in which a caller may take the end of an answer that ends
 	// with its connection, and lingerBytes what it may send meanwhile, in bytes.
-	lingerFor   clock.Millis = 500
-	lingerBytes              = 1 << 20
+	lingerTimeout  clock.Millis = 500
+	maxLingerBytes              = 1 << 20
 )
 
-// linger sends the end of the connection, and reads what still comes until the caller has
+// closeLingering sends the end of the connection, and reads what still comes until the caller has
 // taken it: to close a connection with something unread resets it (RFC 9112, section 9.6).
-func (c *conn) linger() {
+func (c *conn) closeLingering() {
 	t, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || t.CloseWrite() != nil {
 		return
 	}
-	_ = c.Conn.SetReadDeadline(clock.Deadline(lingerFor))
-	_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
+	_ = c.Conn.SetReadDeadline(clock.Deadline(lingerTimeout))
+	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 }
--- a/callers/lengths.go
+++ b/callers/lengths.go
@@ -15,33 +15,33 @@
 
 // Lines of a head that frame its body, from the end of the line before.
 const (
-	lengthField = "\ncontent-length"
-	codingField = "\ntransfer-encoding"
+	contentLengthLine    = "\ncontent-length"
+	transferEncodingLine = "\ntransfer-encoding"
 )
 
-// lengths notices how the heads on a connection framed their bodies. Which of several
+// framingDetector notices how the heads on a connection framed their bodies. Which of several
 // requests it was is not known, since the library may have read ahead, and a line of a body
 // may look like one: either costs a request its connection.
-type lengths struct{ length, coding mention }
+type framingDetector struct{ contentLength, transferEncoding fieldDetector }
 
-// read takes what the library is handed.
-func (l *lengths) read(p []byte) {
-	l.length.read(lengthField, p)
-	l.coding.read(codingField, p)
+// scan takes what the library is handed.
+func (l *framingDetector) scan(p []byte) {
+	l.contentLength.scan(contentLengthLine, p)
+	l.transferEncoding.scan(transferEncodingLine, p)
 }
 
-// mention notices whether a line begins with the name of a field.
-type mention struct {
+// fieldDetector notices whether a line begins with the name of a field.
+type fieldDetector struct {
 	// tail has the end of what was read, in which a line may have begun.
 	tail []byte
-	// named is true once the field was named.
-	named bool
+	// found is true once the field was found.
+	found bool
 }
 
-func (m *mention) read(field string, p []byte) {
+func (m *fieldDetector) scan(field string, p []byte) {
 	most := len(field) - 1
 	across := append(m.tail, p[:min(len(p), most)]...)
-	if m.named = m.named || names(across, field) || names(p, field); m.named {
+	if m.found = m.found || hasFieldLine(across, field) || hasFieldLine(p, field); m.found {
 		return
 	}
 	if len(p) >= most {
@@ -50,8 +50,8 @@
 	m.tail = append(m.tail[:0], across[max(0, len(across)-most):]...)
 }
 
-// names reports whether a line of a text begins with the name of a field.
-func names(text []byte, field string) bool {
+// hasFieldLine reports whether a line of a text begins with the name of a field.
+func hasFieldLine(text []byte, field string) bool {
 	for {
 		i := bytes.IndexByte(text, '\n')
 		if i < 0 || len(text)-i < len(field) {
@@ -64,11 +64,11 @@
 	}
 }
 
-// checkLengths has h called unless the request is of HTTP/1.0 and has chunks, and with the
+// checkFraming has h called unless the request is of HTTP/1.0 and has chunks, and with the
 // connection to be closed after the answer if the request may have both lengths.
-func checkLengths(h http.Handler) http.Handler {
+func checkFraming(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		length, coding := connOf(r.Context()).named()
+		length, coding := connFromContext(r.Context()).framingFields()
 		if coding && r.ContentLength == 0 && !r.ProtoAtLeast(1, 1) {
 			w.Header().Set("Connection", "close")
 			http.Error(w, "HTTP/1.0 has no transfer codings", http.StatusBadRequest)
@@ -81,13 +81,13 @@
 	})
 }
 
-// named reports whether a request on the connection may have named its length, or a
+// framingFields reports whether a request on the connection may have framingFields its length, or a
 // transfer coding.
-func (c *conn) named() (length, coding bool) {
+func (c *conn) framingFields() (length, coding bool) {
 	if c == nil {
 		return false, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lengths.length.named, c.lengths.coding.named
+	return c.framing.contentLength.found, c.framing.transferEncoding.found
 }
--- a/callers/server.go
+++ b/callers/server.go
@@ -46,21 +46,21 @@
 // connection whose next request has been read but not yet begun. It is safe for
 // concurrent use.
 type Server struct {
-	cfg    Config
-	http   *http.Server
-	silent *metrics.Counter
+	cfg           Config
+	http          *http.Server
+	timeoutsTotal *metrics.Counter
 
-	mu   sync.Mutex
-	open map[*conn]bool
+	mu    sync.Mutex
+	conns map[*conn]bool
 	// closing is true once the server is closed with what is still open.
 	closing bool
 }
 
 // New returns a server that does not yet serve.
 func New(cfg Config) *Server {
-	s := &Server{cfg: cfg, open: map[*conn]bool{}, silent: metrics.GetOrCreateCounter(`weldfall_silent_connections_total{to="caller"}`)}
+	s := &Server{cfg: cfg, conns: map[*conn]bool{}, timeoutsTotal: metrics.GetOrCreateCounter(`weldfall_silent_connections_total{to="caller"}`)}
 	s.http = &http.Server{
-		ConnState: s.state, ConnContext: withConn, Handler: checkLengths(endInOrder(cfg.Handler)), MaxHeaderBytes: cfg.MaxHeaderBytes,
+		ConnState: s.connStateChanged, ConnContext: contextWithConn, Handler: checkFraming(resetUnfinished(cfg.Handler)), MaxHeaderBytes: cfg.MaxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug),
 	}
 	return s
@@ -70,7 +70,7 @@
 func (s *Server) Serve(ln net.Listener) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go clock.Every(ctx, sweepPeriod, s.sweep)
+	go clock.Every(ctx, sweepPeriod, s.closeExpired)
 	if err := s.http.Serve(listener{ln, s}); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve callers on %s: %w", ln.Addr(), err)
 	}
@@ -111,5 +111,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.s.add(nc), nil
+	return l.s.track(nc), nil
 }
