--- a/gate/gate.go
+++ b/gate/gate.go
@@ -109,7 +109,7 @@
 	log  *slog.Logger
 	wire Dialect
 	// style formats failures for callers.
-	style failure.Style
+	style failure.Format
 	// reserved and internal are keyed by canonical header name.
 	reserved  map[string]bool
 	internal  map[string]bool
--- a/gate/respond.go
+++ b/gate/respond.go
@@ -18,8 +18,8 @@
 
 // statuses maps failures to status codes. 503 and 429 promise that the request did not run;
 // 502 and 504 do not.
-var statuses = failure.Statuses{
-	Always: map[verdict.Reason]int{
+var statuses = failure.StatusCodes{
+	ByReason: map[verdict.Reason]int{
 		verdict.BadRequest:     http.StatusBadRequest,
 		verdict.Unauthorized:   http.StatusUnauthorized,
 		verdict.NoRoute:        http.StatusNotFound,
@@ -27,20 +27,20 @@
 		verdict.TooLarge:       http.StatusRequestEntityTooLarge,
 	},
 	MayHaveRun: map[verdict.Reason]int{verdict.Deadline: http.StatusGatewayTimeout},
-	NotRun:     http.StatusServiceUnavailable, Otherwise: http.StatusBadGateway,
+	NotRun:     http.StatusServiceUnavailable, Default: http.StatusBadGateway,
 }
 
 // failureStyle returns how failures are formatted if requests are identified by the given
 // header.
-func failureStyle(requestID string) failure.Style {
-	return failure.Style{
-		Statuses: statuses,
+func failureStyle(requestID string) failure.Format {
+	return failure.Format{
+		StatusCodes: statuses,
 		Body: func(f failure.Failure) any {
-			return failureBody{Request: f.Request, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
+			return failureBody{Request: f.RequestID, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
 		},
 		Header: func(h http.Header, f failure.Failure) {
-			if f.Request != "" {
-				h.Set(requestID, f.Request)
+			if f.RequestID != "" {
+				h.Set(requestID, f.RequestID)
 			}
 			if f.Err.RetryAfter() > 0 && f.Err.Verdict() == verdict.NotRun {
 				h.Set("Retry-After", retryAfterValue(f.Err.RetryAfter()))
@@ -56,7 +56,7 @@
 		return
 	}
 	h := c.w.Header()
-	status, body, perr := g.style.Prepare(h, failure.Failure{Request: c.id, Err: err})
+	status, body, perr := g.style.Prepare(h, failure.Failure{RequestID: c.id, Err: err})
 	if perr != nil {
 		g.log.Error("problem_not_encoded", "request", c.id, "error", perr)
 	}
