--- a/engines/loadbound_test.go
+++ b/engines/loadbound_test.go
@@ -61,7 +61,8 @@
 	return p
 }
 
-func (p *pool) at(t clock.Millis, do func()) {
+// schedule adds an event at time t.
+func (p *pool) schedule(t clock.Millis, do func()) {
 	i, _ := slices.BinarySearchFunc(p.events, t+1, func(e event, t clock.Millis) int { return cmp.Compare(e.at, t) })
 	p.events = slices.Insert(p.events, i, event{t, do})
 }
@@ -80,39 +81,39 @@
 	t.Helper()
 	r := p.registries[p.rng.IntN(len(p.registries))]
 	e := choose(t, r, q, p.now).Engine
-	at := p.engines[e.Info().ID]
+	sim := p.engines[e.Info().ID]
 	sum := 0
 	for _, r := range p.engines {
 		sum += r.requests
 	}
 	p.sent++
-	if float64(at.requests) > loadFactor*float64(sum)/float64(len(p.engines))+loadExtra {
+	if float64(sim.requests) > loadFactor*float64(sum)/float64(len(p.engines))+loadExtra {
 		p.over++
 	}
-	at.requests++
-	at.prefillUntil = max(at.prefillUntil, p.now) + prefill
+	sim.requests++
+	sim.prefillUntil = max(sim.prefillUntil, p.now) + prefill
 	e.BeginRequest(p.now)
-	p.at(at.prefillUntil, func() {
+	p.schedule(sim.prefillUntil, func() {
 		e.RecordActivity(p.now)
-		e.RecordLoad(engines.Load{Running: at.requests}, p.now)
-		p.end(e, at, p.now+response)
+		e.RecordLoad(engines.Load{Running: sim.requests}, p.now)
+		p.end(e, sim, p.now+response)
 	})
 }
 
 // end ends a request at time t, or once no prompt is being prefilled any more. Until then
 // its response arrives in chunks.
-func (p *pool) end(e *engines.Engine, at *simEngine, t clock.Millis) {
-	p.at(min(t, p.now+chunkPeriod), func() {
+func (p *pool) end(e *engines.Engine, sim *simEngine, t clock.Millis) {
+	p.schedule(min(t, p.now+chunkPeriod), func() {
 		switch {
-		case p.now < at.prefillUntil:
-			p.end(e, at, max(t, at.prefillUntil))
+		case p.now < sim.prefillUntil:
+			p.end(e, sim, max(t, sim.prefillUntil))
 			return
 		case p.now < t:
 			e.RecordActivity(p.now)
-			p.end(e, at, t)
+			p.end(e, sim, t)
 			return
 		}
-		at.requests--
+		sim.requests--
 		e.RecordActivity(p.now)
 		e.EndRequest(engines.Succeeded, p.now)
 	})
@@ -154,7 +155,7 @@
 		q.MaxSilence = 5000
 		q.Bound, q.Slack = engines.AffinityBound(loadFactor)
 		for at := 0.0; at < day; at += p.rng.ExpFloat64() * 1000 / perSecond {
-			p.at(clock.Millis(at), func() {
+			p.schedule(clock.Millis(at), func() {
 				q.Keys = []uint64{p.rng.Uint64N(1000)}
 				d := clock.Millis(10)
 				if p.rng.Float64() < longShare {
@@ -164,7 +165,7 @@
 			})
 		}
 		for at := clock.Millis(0); at < day; at += 100 {
-			p.at(at, p.exchange)
+			p.schedule(at, p.exchange)
 		}
 		p.run()
 		if float64(p.over) > maxOverShare*float64(p.sent) {
--- a/engines/registry_test.go
+++ b/engines/registry_test.go
@@ -206,7 +206,7 @@
 		r := newRegistry(n)
 		now := clock.Millis(0)
 		var tried []string
-		gone := map[string]bool{}
+		unavailable := map[string]bool{}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 900).Draw(t, "pass"))
 			i := rapid.IntRange(0, n-1).Draw(t, "engine")
@@ -215,10 +215,10 @@
 			case 0:
 				in := info(i)
 				in.Draining = true
-				if !gone[id] {
+				if !unavailable[id] {
 					r.Put(in, now)
 				}
-				gone[id] = true
+				unavailable[id] = true
 			case 1:
 				tried = append(tried, id)
 			case 2:
@@ -232,13 +232,13 @@
 				}
 			case 4:
 				r.Remove(id)
-				gone[id] = true
+				unavailable[id] = true
 			}
 			q := query(uint64(i + 1))
 			q.Tried = tried
 			left := 0
 			for j := range n {
-				if id := info(j).ID; !gone[id] && !slices.Contains(tried, id) {
+				if id := info(j).ID; !unavailable[id] && !slices.Contains(tried, id) {
 					left++
 				}
 			}
@@ -246,8 +246,8 @@
 			if ok != (left > 0) {
 				t.Fatalf("got an engine: %v, want %v with %d left", ok, left > 0, left)
 			}
-			if ok && (gone[c.Engine.Info().ID] || slices.Contains(tried, c.Engine.Info().ID)) {
-				t.Fatalf("got %s, which is gone or tried", c.Engine.Info().ID)
+			if ok && (unavailable[c.Engine.Info().ID] || slices.Contains(tried, c.Engine.Info().ID)) {
+				t.Fatalf("got %s, which is draining, removed or tried", c.Engine.Info().ID)
 			}
 		}
 	})
--- a/engines/warmup_test.go
+++ b/engines/warmup_test.go
@@ -24,7 +24,7 @@
 }
 
 // maxPerSecond returns the highest number of times within any second.
-func maxPerSecond(at []clock.Millis) (most int) {
+func maxPerSecond(at []clock.Millis) (highest int) {
 	for i := range at {
 		n := 0
 		for _, other := range at[i:] {
@@ -32,9 +32,9 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
 // Whatever started an engine's warm-up, this entry sends it no more than its share in any
@@ -45,7 +45,7 @@
 	engine.Hall = "b"
 	warming := engine
 	warming.WarmupLeft = 3000
-	for name, turn := range map[string]func(r *engines.Registry){
+	for name, startWarmup := range map[string]func(r *engines.Registry){
 		"it joins":      func(r *engines.Registry) { r.Remove(engine.ID); r.Put(engine, now) },
 		"the list says": func(r *engines.Registry) { r.Put(warming, now) },
 		"its hall is back": func(r *engines.Registry) {
@@ -63,7 +63,7 @@
 			r := newRegistry(3)
 			r.Put(engine, 0)
 			r.MarkSynced(now - 20_000)
-			turn(r)
+			startWarmup(r)
 			at := sendRequests(t, r, engine.ID, now, now+2990, share)
 			if got := maxPerSecond(at); got != share {
 				t.Errorf("got %d requests in a second, want the share of %d", got, share)
