--- a/engines/attempt/attempt.go
+++ b/engines/attempt/attempt.go
@@ -16,8 +16,8 @@
 	// Answered means that the caller has all of the response that arrived. End, which is
 	// Complete or Closed, says whether that is known to be the whole response.
 	Answered struct{ End framing.End }
-	// NotSent means that no byte of the request reached the engine.
-	NotSent struct{ Err error }
+	// Unsent means that no byte of the request reached the engine.
+	Unsent struct{ Err error }
 	// Refused means that the engine, or its daemon, said that it did not run the
 	// request. It may be sent to another engine.
 	Refused struct{ Err error }
@@ -42,7 +42,7 @@
 }
 
 func (Answered) outcome()   {}
-func (NotSent) outcome()    {}
+func (Unsent) outcome()    {}
 func (Refused) outcome()    {}
 func (Broken) outcome()     {}
 func (Failed) outcome()     {}
--- a/engines/offer/offer.go
+++ b/engines/offer/offer.go
@@ -70,7 +70,7 @@
 	conn, err := c.links.Get(to.Addr, link.Data)
 	if err != nil {
 		c.observer.DaemonUnreachable(to.ID)
-		return attempt.NotSent{Err: verdict.New(verdict.NotRun, verdict.Unreachable, "daemon %s: %w", to.ID, err)}, wire.Result{}
+		return attempt.Unsent{Err: verdict.New(verdict.NotRun, verdict.Unreachable, "daemon %s: %w", to.ID, err)}, wire.Result{}
 	}
 	run.Attempt = max(1, rand.Uint64())
 	a := &offered{client: c, w: w, id: run.Attempt, to: to, boot: conn.PeerBootID(), in: c.inboxes.open(run.Attempt), responseEnd: framing.Complete}
--- a/engines/offer/offer_test.go
+++ b/engines/offer/offer_test.go
@@ -173,7 +173,7 @@
 	switch o := o.(type) {
 	case attempt.Answered:
 		return "answered", verdict.Ran
-	case attempt.NotSent:
+	case attempt.Unsent:
 		return "unsent", verdict.From(o.Err).Verdict()
 	case attempt.Refused:
 		return "refused", verdict.From(o.Err).Verdict()
--- a/entry/send.go
+++ b/entry/send.go
@@ -80,7 +80,7 @@
 // another engine may be asked, or else the final failure.
 func (e *Entry) refusal(s route.Send, o attempt.Outcome, res wire.Result) (refusal, final *verdict.Error) {
 	switch o := o.(type) {
-	case attempt.NotSent:
+	case attempt.Unsent:
 		return verdict.From(o.Err), nil
 	case attempt.Refused:
 		e.node.ObserveRefusal(res.Loads)
--- a/gate/account.go
+++ b/gate/account.go
@@ -112,7 +112,7 @@
 	}
 	cause := ""
 	switch o := o.(type) {
-	case attempt.NotSent:
+	case attempt.Unsent:
 		cause = o.Err.Error()
 	case attempt.Refused:
 		cause = o.Err.Error()
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -86,7 +86,7 @@
 // grantRetry takes a retry from the budget of a service, unless the ended attempt did not
 // reach its engine.
 func (g *Gate) grantRetry(service string, o attempt.Outcome, now clock.Millis) grant {
-	if _, ok := o.(attempt.NotSent); ok {
+	if _, ok := o.(attempt.Unsent); ok {
 		return grantFree
 	}
 	g.mu.Lock()
--- a/gate/send.go
+++ b/gate/send.go
@@ -69,7 +69,7 @@
 				c.reply.WriteBuffered(held)
 				return nil
 			}
-		case attempt.NotSent, attempt.Refused, attempt.Broken:
+		case attempt.Unsent, attempt.Refused, attempt.Broken:
 			if err := g.retryOrFail(c, o, e.Info); err != nil {
 				return err
 			}
@@ -114,7 +114,7 @@
 		if ctx.Err() != nil {
 			return attempt.CallerGone{}
 		}
-		return attempt.NotSent{Err: err}
+		return attempt.Unsent{Err: err}
 	case ctx.Err() != nil:
 		c.ran++
 		g.finish(e.Incarnation(), engines.Neutral)
@@ -153,7 +153,7 @@
 		return failedOrNeutral(ctx)
 	case attempt.Failed:
 		return failedOrNeutral(ctx)
-	case attempt.CallerGone, attempt.NotSent, attempt.Refused:
+	case attempt.CallerGone, attempt.Unsent, attempt.Refused:
 	}
 	return engines.Neutral
 }
@@ -186,7 +186,7 @@
 	retryable := false
 	var final *verdict.Error
 	switch o := o.(type) {
-	case attempt.NotSent:
+	case attempt.Unsent:
 		c.unsent++
 		retryable = c.unsent < maxUnsent
 		final = verdict.New(c.verdict(), verdict.Unreachable, "%d engines of %s could not be reached: %w", c.unsent, c.service, o.Err)
@@ -224,7 +224,7 @@
 	switch o := o.(type) {
 	case attempt.Answered:
 		return "answered"
-	case attempt.NotSent:
+	case attempt.Unsent:
 		return "unsent"
 	case attempt.Refused:
 		return "refused"
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -72,7 +72,7 @@
 		}
 	case attempt.Broken:
 		g.recordBreak(ctx, c, e, o.Err)
-	case attempt.Failed, attempt.Refused, attempt.NotSent, attempt.CallerGone:
+	case attempt.Failed, attempt.Refused, attempt.Unsent, attempt.CallerGone:
 	}
 	if c.alone {
 		g.guard.EndTrial(c.suspect())
