--- a/fleet/member/member_test.go
+++ b/fleet/member/member_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-func TestAnInstanceLeavesByTheListOrItsOwnWord(t *testing.T) {
+func TestAnInstanceLeavesByTheListOrItsOwnReport(t *testing.T) {
 	v := member.NewView("me", 0)
 	for _, id := range []string{"a", "b", "c"} {
 		v.SetListed(instance(id), 1)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAFlappingInstanceIsHeldOffLongerEachTime(t *testing.T) {
+func TestAFlappingInstanceIsHeldLongerEachTime(t *testing.T) {
 	v := member.NewView("me", 0)
 	v.SetListed(instance("steady"), 0)
 	v.SetListed(instance("flap"), 0)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestUnreachableInstancesAreTriedAgainLaterAndWhenNoneIsLeft(t *testing.T) {
+func TestUnreachableInstancesAreRetriedLaterOrWhenNoneIsLeft(t *testing.T) {
 	v := member.NewView("me", 0)
 	v.SetListed(instance("a"), 0)
 	v.SetListed(instance("b"), 0)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestOnlyAProcessInContactWithMostTrustsItself(t *testing.T) {
+func TestMajorityReachableFollowsTheLatestExchanges(t *testing.T) {
 	v := member.NewView("me", 0)
 	if !v.MajorityReachable() {
 		t.Error("alone: got no majority")
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestAYoungViewCountsEveryLossAsRecent(t *testing.T) {
+func TestAViewYoungerThanTheWindowCountsAllGone(t *testing.T) {
 	v := member.NewView("me", 1000)
 	v.SetListed(instance("a"), 1000)
 	v.SetUnlisted("a", 1100)
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestAnInstanceCostsLittle(t *testing.T) {
+func TestMemoryPerInstance(t *testing.T) {
 	const n = 3300
 	used := heaptest.BytesEach(n, func() *member.View {
 		v := member.NewView("me", 0)
--- a/fleet/once/bench_test.go
+++ b/fleet/once/bench_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestAKeyCostsTheSameAtAnyDepth(t *testing.T) {
+func TestMemoryPerKey(t *testing.T) {
 	small, large := fillWitness(10_000), fillWitness(once.MaxKeys)
 	t.Logf("%.0f bytes a key at 10,000 and %.0f at %d", small, large, once.MaxKeys)
 	if large > 160 {
--- a/fleet/once/once_test.go
+++ b/fleet/once/once_test.go
@@ -11,7 +11,7 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-func TestTwoSetsOfPromisesShareAWitness(t *testing.T) {
+func TestTwoQuorumsShareAWitness(t *testing.T) {
 	for n := 1; n <= 12; n++ {
 		need, changes := once.Quorum(n), once.ToleratedChanges(n)
 		if 2*need <= n+changes {
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestBornReadsTheTimeOfAUUIDVersion7(t *testing.T) {
+func TestKeyTimeReadsTheTimeOfAUUIDVersion7(t *testing.T) {
 	for key, want := range map[string]clock.Millis{
 		"017f22e2-79b0-7cc3-98c4-dc0c0c07398f": 1645557742000, // RFC 9562, appendix A.6
 		"017f22e2-79b0-4cc3-98c4-dc0c0c07398f": 0,
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAWitnessRemembersForTheWindowAndNotForever(t *testing.T) {
+func TestAPromiseExpiresAfterTheWindow(t *testing.T) {
 	w := once.NewWitness(0, 1_000_000, 100)
 	c := wire.Claim{Key: 1, Attempt: 7, Window: 60_000}
 	if g := w.Claim(c, 100_000, 1_100_000); !g.Granted || g.StartedLate {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestAYoungWitnessSaysSo(t *testing.T) {
+func TestAWitnessReportsALateStart(t *testing.T) {
 	w := once.NewWitness(0, 1_000_000, 100)
 	if g := w.Claim(wire.Claim{Key: 1, Attempt: 1, Window: 60_000}, 30_000, 1_030_000); !g.StartedLate {
 		t.Errorf("untimed key: got %+v, want young", g)
--- a/fleet/silent_test.go
+++ b/fleet/silent_test.go
@@ -98,7 +98,7 @@
 
 // Guards against a read that waits at a settings service which fell silent, of which nobody
 // hears until the wait of the read is over.
-func TestAChangeIsInForceInTimeThoughTheServiceWasSilent(t *testing.T) {
+func TestAChangeTakesEffectInTimeAfterTheServiceWasSilent(t *testing.T) {
 	t.Parallel()
 	for _, away := range []time.Duration{300, 700, 1250, 3000} {
 		t.Run(fmt.Sprintf("for %d ms", away), func(t *testing.T) {
--- a/fleet/source/client_test.go
+++ b/fleet/source/client_test.go
@@ -21,7 +21,7 @@
 )
 
 // A batch may take longer than a silent service is waited for, as long as it comes.
-func TestABatchMayTakeLongerThanSilenceIsWaitedFor(t *testing.T) {
+func TestABatchMayTakeLongerThanTheResponseTimeout(t *testing.T) {
 	t.Parallel()
 	const size = 600_000
 	body, err := json.Marshal(source.Batch{Rev: 1, Items: []source.Item{{Key: "k", Rev: 1, Value: strings.Repeat("x", size)}}})
@@ -39,7 +39,7 @@
 }
 
 // Guards against a call on a connection that died while this instance was suspended.
-func TestNoConnectionThatRestedDuringASuspensionIsAsked(t *testing.T) {
+func TestConnectionsIdleDuringASuspensionAreNotReused(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestABatchThatIsTooLargeIsCalledThat(t *testing.T) {
+func TestAnErrorNamesTheLimitOfABatch(t *testing.T) {
 	srv := httptest.NewServer(largetest.Over(source.MaxResponse))
 	defer srv.Close()
 	_, err := source.New(srv.URL, clock.System()).Changes(t.Context(), source.Config, 0, 0)
@@ -73,7 +73,7 @@
 }
 
 // A batch that ends with its connection is not taken for a shorter one.
-func TestABatchThatIsCutIsNoBatch(t *testing.T) {
+func TestATruncatedBatchIsAnError(t *testing.T) {
 	const batch = `{"rev":2,"items":[{"key":"a","rev":1,"value":"1"},{"key":"b","rev":2,"value":"2"}]}`
 	for n := range len(batch) {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestAMissedItemIsNoticedAndMadeGood(t *testing.T) {
+func TestAMissedItemIsDetectedAndFetched(t *testing.T) {
 	reader, late := spread.NewStore(wire.Topics, 1000), spread.NewStore(wire.Topics, 1000)
 	reader.Add([]wire.Item{item("a", 1, 0, "1"), item("b", 2, 1, "2"), item("c", 3, 2, "3")})
 	reader.MarkComplete(wire.TopicCore, 3)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestTheLastGoodValueTravelsWithABadOne(t *testing.T) {
+func TestTheLastGoodValueIsSentWithAnInvalidOne(t *testing.T) {
 	a, b := spread.NewStore(wire.Topics, 1000), spread.NewStore(wire.Topics, 1000)
 	a.Add([]wire.Item{item("p", 1, 0, "good")})
 	a.Add([]wire.Item{item("p", 2, 1, "bad")})
@@ -204,9 +204,9 @@
 	s.stores[reader].MarkComplete(it.Topic, it.Rev)
 }
 
-// TestAChangeIsEverywhereWithinThreeRoundsOf3200 has the bound of 4 s: a
+// TestAChangeReaches3200MembersWithinThreeRounds has the bound of 4 s: a
 // round is a second, and a fifth of the pushes is lost.
-func TestAChangeIsEverywhereWithinThreeRoundsOf3200(t *testing.T) {
+func TestAChangeReaches3200MembersWithinThreeRounds(t *testing.T) {
 	s := newSwarm(3200)
 	worst := 0
 	for rev := int64(1); rev <= 20; rev++ {
@@ -243,10 +243,10 @@
 	t.Logf("%d rounds", rounds)
 }
 
-// TestControlBytesAreFlatWhileEnginesGrow measures a second of exchanges with
+// TestControlBytesDoNotGrowWithEngines measures a second of exchanges with
 // the real encoder, at the plan's rate of changes, for lists of 12 to 10,000
 // engines.
-func TestControlBytesAreFlatWhileEnginesGrow(t *testing.T) {
+func TestControlBytesDoNotGrowWithEngines(t *testing.T) {
 	var perMember []float64
 	for _, engines := range []int{12, 480, 10_000} {
 		s := newSwarm(300)
@@ -291,9 +291,9 @@
 	}
 }
 
-// TestAStartStaysWithinTheBudget bounds the bytes of each answer while a
+// TestCatchingUpStaysWithinTheBudget bounds the bytes of each answer while a
 // process that has nothing catches up with a large list.
-func TestAStartStaysWithinTheBudget(t *testing.T) {
+func TestCatchingUpStaysWithinTheBudget(t *testing.T) {
 	s := newSwarm(2)
 	fill(s, 3200)
 	fresh := spread.NewStore([]wire.Topic{wire.TopicCore, wire.TopicInstances}, spread.DefaultChunkBytes)
--- a/link/cut_test.go
+++ b/link/cut_test.go
@@ -22,7 +22,7 @@
 }
 
 // A message that is cut short by the end of its connection is not taken for a shorter one.
-func TestAMessageThatIsCutIsNoMessage(t *testing.T) {
+func TestATruncatedMessageIsDropped(t *testing.T) {
 	var frame bytes.Buffer
 	enc := msgpack.NewEncoder(&frame)
 	enc.UseArrayEncodedStructs(true)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -71,7 +71,7 @@
 	return pool, ln.Addr().String(), cancel
 }
 
-func TestFramesComeInOrderAndBeforeTheResult(t *testing.T) {
+func TestFramesArriveInOrderAndBeforeTheResult(t *testing.T) {
 	p := &peer{}
 	pool, addr, _ := connect(t, p)
 	c, err := pool.Get(addr, link.Data)
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestAPoolKeepsOneConnectionAndDialsAgainAfterItEnds(t *testing.T) {
+func TestAPoolKeepsOneConnectionAndRedialsAfterItEnds(t *testing.T) {
 	pool, addr, stop := connect(t, &peer{})
 	first, err := pool.Get(addr, link.Control)
 	if err != nil {
--- a/link/silent_test.go
+++ b/link/silent_test.go
@@ -40,7 +40,7 @@
 
 // The end of a connection does not come through on one that is silent: the
 // server must let go of it by itself.
-func TestAServerLetsGoOfASilentConnection(t *testing.T) {
+func TestAServerClosesASilentConnection(t *testing.T) {
 	for _, way := range []linktest.Way{linktest.There, linktest.Both} {
 		t.Run(string(way), func(t *testing.T) {
 			t.Parallel()
@@ -80,7 +80,7 @@
 }
 
 // A connection that never says of which class it is holds nothing.
-func TestAServerLetsGoOfAConnectionThatSaysNothing(t *testing.T) {
+func TestAServerClosesAConnectionThatSendsNothing(t *testing.T) {
 	t.Parallel()
 	c, err := net.Dial("tcp", served(t))
 	if err != nil {
@@ -96,7 +96,7 @@
 }
 
 // What was not heard lately is closed, and what was is kept.
-func TestUnheardConnectionsAreClosed(t *testing.T) {
+func TestCloseSilentKeepsActiveConnections(t *testing.T) {
 	t.Parallel()
 	clk := clock.System()
 	pool := link.NewPool(clk, &peer{})
@@ -124,7 +124,7 @@
 
 // A connection that rested while this instance was suspended is not used again, whoever
 // noticed the suspension first. One that was dialed since is.
-func TestNoConnectionThatRestedDuringASuspensionIsUsed(t *testing.T) {
+func TestAPoolReplacesConnectionsIdleDuringASuspension(t *testing.T) {
 	t.Parallel()
 	h := clocktest.New()
 	pool := link.NewPool(clock.WithHands(h), &peer{})
--- a/link/wire/wire_test.go
+++ b/link/wire/wire_test.go
@@ -38,7 +38,7 @@
 }
 
 // Processes of both kinds stand side by side while a fleet is replaced.
-func TestHowAnAnswerEndsIsReadBesideOlderProcesses(t *testing.T) {
+func TestEndsUntilCloseIsCompatibleWithOlderProcesses(t *testing.T) {
 	head := &wire.Head{Status: 200, Header: map[string]string{"A": "b"}}
 	head.MarkEndsUntilClose()
 	data := encode(t, wire.Frame{Attempt: 1, Head: head})
--- a/peers/changes/changes_test.go
+++ b/peers/changes/changes_test.go
@@ -12,93 +12,93 @@
 	return changes.Change{Key: key, Value: []byte(key), Revision: revision}
 }
 
-func place(revision int64) changes.Position { return changes.Position{Epoch: 1, Revision: revision} }
+func position(revision int64) changes.Position { return changes.Position{Epoch: 1, Revision: revision} }
 
-// known is a log of a list that was read at revision 10 and had some changes since.
-func known() *changes.Log {
+// filledLog returns a log that was reset at revision 10 and has changes up to 20.
+func filledLog() *changes.Log {
 	l := &changes.Log{}
-	l.Reset(place(10))
+	l.Reset(position(10))
 	l.Append(13, []changes.Change{change("a", 11), change("b", 13)})
 	l.Append(20, []changes.Change{change("a", 18)})
 	return l
 }
 
-func TestWhatCameSinceAPlaceIsKnown(t *testing.T) {
+func TestSinceReturnsLaterChanges(t *testing.T) {
 	for name, tc := range map[string]struct {
 		since changes.Position
 		want  []string
 	}{
-		"from the reading on":        {place(10), []string{"b 13", "a 18"}},
-		"from between two":           {place(13), []string{"a 18"}},
-		"nothing that counts since":  {place(18), nil},
-		"nothing since":              {place(20), nil},
-		"from later than is known":   {place(21), nil},
-		"from before the reading":    {place(9), nil},
-		"from an earlier epoch":      {changes.Position{Revision: 13}, nil},
-		"from a later epoch":         {changes.Position{Epoch: 2, Revision: 13}, nil},
-		"from a place of an old log": {changes.Position{}, nil},
+		"since the reset":     {position(10), []string{"b 13", "a 18"}},
+		"between two changes": {position(13), []string{"a 18"}},
+		"no changes since":    {position(18), nil},
+		"latest position":     {position(20), nil},
+		"later than known":    {position(21), nil},
+		"before the reset":    {position(9), nil},
+		"earlier epoch":       {changes.Position{Revision: 13}, nil},
+		"later epoch":         {changes.Position{Epoch: 2, Revision: 13}, nil},
+		"zero position":       {changes.Position{}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			came, to, ok := known().Since(tc.since)
+			cs, to, ok := filledLog().Since(tc.since)
 			var got []string
-			for _, c := range came {
+			for _, c := range cs {
 				got = append(got, fmt.Sprint(c.Key, " ", c.Revision))
 			}
 			if !slices.Equal(got, tc.want) || ok != (tc.want != nil) {
 				t.Errorf("got %v, %v, want %v", got, ok, tc.want)
 			}
-			if ok && to != place(20) {
-				t.Errorf("got them up to %v, want %v", to, place(20))
+			if ok && to != position(20) {
+				t.Errorf("got position %v, want %v", to, position(20))
 			}
 		})
 	}
 	if _, _, ok := (&changes.Log{}).Since(changes.Position{}); ok {
-		t.Error("got changes of a list that is not known")
+		t.Error("got changes from an empty log")
 	}
-	l := known()
-	l.Reset(place(30))
-	if _, _, ok := l.Since(place(20)); ok {
-		t.Error("got changes across a reading, want none: what came between is not known")
+	l := filledLog()
+	l.Reset(position(30))
+	if _, _, ok := l.Since(position(20)); ok {
+		t.Error("got changes across a reset, want none: those in between are not known")
 	}
-	l = known()
+	l = filledLog()
 	l.Invalidate()
-	if _, _, ok := l.Since(place(13)); ok {
-		t.Error("got changes of a list that is not so")
+	if _, _, ok := l.Since(position(13)); ok {
+		t.Error("got changes of an invalid list")
 	}
 	if _, ok := l.Position(); ok {
-		t.Error("got a place of a list that is not so")
+		t.Error("got a position of an invalid list")
 	}
 }
 
-// What no longer fits is not told in part: who knew the list before it asks elsewhere.
-func TestALogThatOverflowsTellsNoneTheWorse(t *testing.T) {
-	l := known()
+// A log that dropped a change must not return the rest as if it were complete.
+func TestAnOverflowingLogForgetsOldPositions(t *testing.T) {
+	l := filledLog()
 	for i := range int64(changes.MaxChanges) {
 		l.Append(21+i, []changes.Change{change(fmt.Sprint("k", i), 21+i)})
 	}
-	if _, _, ok := l.Since(place(13)); ok {
-		t.Error("got changes since 13, want none: one of 18 was dropped")
+	if _, _, ok := l.Since(position(13)); ok {
+		t.Error("got changes since 13, want none: the one at 18 was dropped")
 	}
-	came, _, ok := l.Since(place(18))
-	if got, want := len(came), changes.MaxChanges; !ok || got != want {
+	cs, _, ok := l.Since(position(18))
+	if got, want := len(cs), changes.MaxChanges; !ok || got != want {
 		t.Errorf("got %d changes since 18, want %d", got, want)
 	}
 }
 
-func TestAWordWaitsUntilItIsTaken(t *testing.T) {
+func TestTheLatestPendingDeltaIsTakenOnce(t *testing.T) {
 	l := &changes.Log{}
 	if _, ok := l.TakePending(); ok || l.HasPending() {
-		t.Error("got a word of nobody")
+		t.Error("got a delta from an empty log")
 	}
 	l.SetPending(changes.PeerDelta{Peer: "edge-2", ValidAt: 5})
 	l.SetPending(changes.PeerDelta{Peer: "edge-3", ValidAt: 6})
 	if !l.HasPending() {
-		t.Error("got no word waiting, want one")
+		t.Error("got no pending delta, want one")
 	}
 	if got, ok := l.TakePending(); !ok || got.Peer != "edge-3" || got.ValidAt != 6 {
 		t.Errorf("got %+v, %v, want the later of two", got, ok)
 	}
 	if _, ok := l.TakePending(); ok || l.HasPending() {
-		t.Error("got a word twice")
+		t.Error("got a delta twice")
 	}
 }
--- a/peers/changes_test.go
+++ b/peers/changes_test.go
@@ -16,37 +16,37 @@
 	"github.com/weldfall/weldfall/peers/changes"
 )
 
-// lateFacts is a process that wants the changes that its peers tell of.
-type lateFacts struct {
-	facts
-	told []changes.Delta
+// laggingHost wants the changes that its peers have.
+type laggingHost struct {
+	fakeHost
+	received []changes.Delta
 }
 
-func (f *lateFacts) WantedChanges(sum uint32) (changes.Position, bool) {
+func (f *laggingHost) WantedChanges(sum uint32) (changes.Position, bool) {
 	return changes.Position{Epoch: 3, Revision: 10}, sum == listSum
 }
 
-func (f *lateFacts) ReceiveChanges(_ string, w changes.Delta, _ clock.Millis) {
+func (f *laggingHost) ReceiveChanges(_ string, w changes.Delta, _ clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = append(f.told, w)
+	f.received = append(f.received, w)
 }
 
-func (f *lateFacts) words() []changes.Delta {
+func (f *laggingHost) deltas() []changes.Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told
+	return f.received
 }
 
-// listSum stands for the list that knowing processes tell of.
+// listSum is the checksum of currentHost's list.
 const listSum = 77
 
-// knowingFacts is a process that knows what came since revision 10.
-type knowingFacts struct{ facts }
+// currentHost knows the changes since revision 10.
+type currentHost struct{ fakeHost }
 
-func (*knowingFacts) LocalStatus(int, int) peers.Status { return peers.Status{ListSum: listSum} }
+func (*currentHost) LocalStatus(int, int) peers.Status { return peers.Status{ListSum: listSum} }
 
-func (*knowingFacts) ChangesSince(p changes.Position) (changes.Delta, bool) {
+func (*currentHost) ChangesSince(p changes.Position) (changes.Delta, bool) {
 	return changes.Delta{From: p, Sum: listSum, Changes: []changes.Change{{Key: "a", Value: []byte{0, 255}, Revision: 12}}}, p.Revision == 10
 }
 
@@ -68,18 +68,18 @@
 	return addr
 }
 
-func TestChangesAreAskedOfThePeerThatToldOfThem(t *testing.T) {
-	knows := runPeers(t, "e1", nil, &knowingFacts{})
-	late := &lateFacts{}
+func TestChangesAreFetchedFromThePeerThatReportedThem(t *testing.T) {
+	knows := runPeers(t, "e1", nil, &currentHost{})
+	late := &laggingHost{}
 	runPeers(t, "e2", []string{knows}, late)
-	wait(t, "changes", func() bool { return len(late.words()) > 0 })
-	got := late.words()[0]
+	wait(t, "changes", func() bool { return len(late.deltas()) > 0 })
+	got := late.deltas()[0]
 	if got.From != (changes.Position{Epoch: 3, Revision: 10}) || len(got.Changes) != 1 || string(got.Changes[0].Value) != "\x00\xff" {
-		t.Errorf("got the word %+v, want the change since revision 10", got)
+		t.Errorf("got the delta %+v, want the change since revision 10", got)
 	}
 }
 
-// oldPeer is a process of a version that does not tell changes.
+// oldPeer is a process of a version without the changes method.
 type oldPeer struct{ asked chan string }
 
 func (o oldPeer) Call(_ context.Context, _ *link.Conn, method string, _ json.RawMessage) (any, error) {
@@ -104,8 +104,8 @@
 	return l.Listener.Accept()
 }
 
-// Talk goes on with a peer that cannot tell, over the same connection.
-func TestAPeerThatTellsNoChangesCostsNothingElse(t *testing.T) {
+// Exchanges with a peer that does not support changes continue over the same connection.
+func TestAPeerWithoutChangesKeepsItsConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -119,17 +119,17 @@
 		_ = link.Serve(ctx, counted, clock.System(), old, 6000)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	late := &lateFacts{}
+	late := &laggingHost{}
 	runPeers(t, "e2", []string{ln.Addr().String()}, late)
 	for range 4 {
 		<-old.asked
 	}
-	wait(t, "answers", func() bool { return late.answers() >= 3 })
-	if n := len(late.words()); n != 0 {
-		t.Errorf("got %d words of a peer that tells none", n)
+	wait(t, "responses", func() bool { return late.responses() >= 3 })
+	if n := len(late.deltas()); n != 0 {
+		t.Errorf("got %d deltas from a peer that does not support changes", n)
 	}
-	// One more is being waited for.
+	// The listener is waiting for one more.
 	if got := counted.accepted.Load() - 1; got != 1 {
-		t.Errorf("got %d connections for four questions, want one", got)
+		t.Errorf("got %d connections for four requests, want one", got)
 	}
 }
--- a/peers/cost_test.go
+++ b/peers/cost_test.go
@@ -19,61 +19,62 @@
 	"github.com/weldfall/weldfall/peers/changes"
 )
 
-// busyFacts has as many loads to tell as a message takes.
-type busyFacts struct {
+// loadedHost has as many loads as a message holds.
+type loadedHost struct {
 	loads []peers.Load
 
 	mu sync.Mutex
-	// fleet and others are what the entry was last told of the others.
+	// fleet, self and others are what Peers last reported of the other entries.
 	fleet  peers.Fleet
 	self   string
 	others []string
-	// most is how many entries it ever knew, which it goes on counting, as a gate
-	// does for its shares.
-	most int
+	// maxEntries is the largest number of entries known so far. Like a gate, it keeps
+	// counting them for its shares.
+	maxEntries int
 }
 
-func newBusyFacts() *busyFacts {
-	f := &busyFacts{}
+func newLoadedHost() *loadedHost {
+	f := &loadedHost{}
 	for i := range 30 {
 		f.loads = append(f.loads, peers.Load{Incarnation: uint32(0x6bcf2168 + i*7919), Requests: 10 + i, Age: 100 + clock.Millis(90*i)})
 	}
 	return f
 }
 
-func (f *busyFacts) LocalStatus(n, _ int) peers.Status {
+func (f *loadedHost) LocalStatus(n, _ int) peers.Status {
 	return peers.Status{Table: 1234, TableAge: 321, ListSum: 3_912_345_678, ListAge: 1234, Epoch: 2, EpochAge: 345_678, Revision: 12_345_678, SuspectsComplete: true, Loads: f.loads[:n]}
 }
-func (*busyFacts) ReceiveStatus(string, peers.Status, clock.Millis)    {}
-func (*busyFacts) Stop() peers.Stop                                    { return peers.Stop{} }
-func (*busyFacts) ReceiveLoads([]peers.Load, clock.Millis)             {}
-func (*busyFacts) WantedChanges(uint32) (changes.Position, bool)       { return changes.Position{}, false }
-func (*busyFacts) ChangesSince(changes.Position) (changes.Delta, bool) { return changes.Delta{}, false }
-func (*busyFacts) ReceiveChanges(string, changes.Delta, clock.Millis)  {}
-func (*busyFacts) ReceiveSuspects(string, string)                      {}
-func (*busyFacts) BroadcastSuspects()                                  {}
-func (*busyFacts) SuspectsPending() <-chan struct{}                    { return nil }
-func (*busyFacts) TakeSuspects() string                                { return "" }
-
-func (f *busyFacts) SetFleet(fleet peers.Fleet) {
+func (*loadedHost) ReceiveStatus(string, peers.Status, clock.Millis) {}
+func (*loadedHost) Stop() peers.Stop                                 { return peers.Stop{} }
+func (*loadedHost) ReceiveLoads([]peers.Load, clock.Millis)          {}
+func (*loadedHost) WantedChanges(uint32) (changes.Position, bool)    { return changes.Position{}, false }
+func (*loadedHost) ChangesSince(changes.Position) (changes.Delta, bool) {
+	return changes.Delta{}, false
+}
+func (*loadedHost) ReceiveChanges(string, changes.Delta, clock.Millis) {}
+func (*loadedHost) ReceiveSuspects(string, string)                     {}
+func (*loadedHost) BroadcastSuspects()                                 {}
+func (*loadedHost) SuspectsPending() <-chan struct{}                   { return nil }
+func (*loadedHost) TakeSuspects() string                               { return "" }
+
+func (f *loadedHost) SetFleet(fleet peers.Fleet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fleet = fleet
 }
 
-func (f *busyFacts) SetOthers(self string, others []string) {
+func (f *loadedHost) SetOthers(self string, others []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.self, f.others = self, others
-	f.most = max(f.most, len(others)+1)
+	f.maxEntries = max(f.maxEntries, len(others)+1)
 }
 
-// share returns the entry's part of a whole, as of what it knows, and whether it
-// takes itself to be the first.
-func (f *busyFacts) share(whole int) (part int, first bool) {
+// share returns the entry's part of a whole and whether it takes itself to rank first.
+func (f *loadedHost) share(whole int) (part int, first bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return peers.NewShares(f.self, f.others, f.most).Part(whole, "engine"), f.fleet.First
+	return peers.NewShares(f.self, f.others, f.maxEntries).Part(whole, "engine"), f.fleet.First
 }
 
 // countedListener counts the bytes of the connections that it accepts, in both
@@ -108,7 +109,7 @@
 	return n, err
 }
 
-// processorMicros is the processor time of this process so far.
+// processorMicros returns the CPU time of this process so far, in microseconds.
 func processorMicros(b *testing.B) float64 {
 	b.Helper()
 	var u syscall.Rusage
@@ -118,18 +119,17 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1000
 }
 
-// BenchmarkTalk measures what the talk of entries costs, and what they know of
-// each other: run it with -benchtime 1x. Bytes are those of the connections'
-// content, without the headers of packets. "firsts" is how many take themselves to
-// be the first of all, "shares" what all parts of a whole sum up to; both should
-// be 1.
-func BenchmarkTalk(b *testing.B) {
+// BenchmarkPeerExchange measures the cost of the exchanges between entries and what they
+// know of each other. Run it with -benchtime 1x. Bytes are those of the connections'
+// content, without packet headers. "firsts" is how many entries take themselves to rank
+// first and "shares" the sum of all parts of a whole; both should be 1.
+func BenchmarkPeerExchange(b *testing.B) {
 	for _, n := range []int{5, 27, 103, 300, 1000} {
-		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) { talk(b, n) })
+		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) { benchmarkExchange(b, n) })
 	}
 }
 
-func talk(b *testing.B, n int) {
+func benchmarkExchange(b *testing.B, n int) {
 	const (
 		settle = 10 * time.Second
 		period = 20 * time.Second
@@ -140,7 +140,7 @@
 	defer cancel()
 	clk, log := clock.System(), slog.New(slog.DiscardHandler)
 	answered := make([]atomic.Int64, n)
-	all, facts := make([]*peers.Peers, n), make([]*busyFacts, n)
+	all, hosts := make([]*peers.Peers, n), make([]*loadedHost, n)
 	name := func(i int) string { return fmt.Sprintf("edge-spanish-town-%d", i) }
 	var seeds []string
 	lns := make([]net.Listener, n)
@@ -155,8 +155,8 @@
 		}
 	}
 	for i := range n {
-		facts[i] = newBusyFacts()
-		all[i] = peers.New(peers.Config{ID: name(i), Addr: lns[i].Addr().String(), Seeds: seeds, Host: facts[i], Clock: clk, Log: log})
+		hosts[i] = newLoadedHost()
+		all[i] = peers.New(peers.Config{ID: name(i), Addr: lns[i].Addr().String(), Seeds: seeds, Host: hosts[i], Clock: clk, Log: log})
 		wg.Go(func() { all[i].Run(ctx, lns[i]) })
 	}
 	asked := metrics.GetOrCreateCounter("weldfall_peer_asks_total").Get
@@ -178,7 +178,7 @@
 		known, given, firsts := 0, 0, 0
 		for i, p := range all {
 			known += p.Count()
-			part, first := facts[i].share(whole)
+			part, first := hosts[i].share(whole)
 			given += part
 			if first {
 				firsts++
--- a/peers/export_test.go
+++ b/peers/export_test.go
@@ -1,10 +1,10 @@
 package peers
 
-// Others returns the addresses of the others that are known, sorted.
+// Others returns the sorted addresses of the other known entries.
 func (m *Members) Others() []string { return m.others() }
 
-// How many loads a question and an answer tell.
+// Limits of the loads in a request and in a response.
 const (
-	LoadsAsked = requestLoads
-	LoadsTold  = responseLoads
+	RequestLoads  = requestLoads
+	ResponseLoads = responseLoads
 )
--- a/peers/fleet_test.go
+++ b/peers/fleet_test.go
@@ -12,17 +12,18 @@
 	"github.com/weldfall/weldfall/peers"
 )
 
-// simRound is the time between two questions of an entry.
+// simRound is the time between two calls of an entry.
 const simRound clock.Millis = 400
 
 const (
-	// simSeeds is how many of all entries the settings name, and simSeedEvery how many
-	// rounds lie between two questions to one of these.
-	simSeeds     = 3
-	simSeedEvery = 15
+	// simSeeds is how many of the entries are seeds, and simSeedInterval how many rounds
+	// lie between two calls to a seed.
+	simSeeds        = 3
+	simSeedInterval = 15
 )
 
-// simFleet is entries that talk without a network, in time that is handed in.
+// simFleet simulates entries that exchange messages without a network, on a simulated
+// clock.
 type simFleet struct {
 	addrs  []string
 	all    []*peers.Members
@@ -30,14 +31,14 @@
 	dead   map[int]bool
 	now    clock.Millis
 	round  int
-	// heard counts the loads that each entry was told of.
-	heard []int
+	// loads counts the loads that each entry received.
+	loads []int
 	rng   *rand.Rand
 }
 
 func newSimFleet(n int) *simFleet {
 	f := &simFleet{byAddr: map[string]int{}, dead: map[int]bool{}, now: 1000, rng: rand.New(rand.NewPCG(1, uint64(n)))}
-	f.heard = make([]int, n)
+	f.loads = make([]int, n)
 	for i := range n {
 		addr := fmt.Sprintf("10.%d.%d.%d:8605", i%5, i/250, i%250)
 		f.addrs, f.byAddr[addr] = append(f.addrs, addr), i
@@ -46,13 +47,13 @@
 	return f
 }
 
-// pass lets entries talk for so long.
-func (f *simFleet) pass(d clock.Millis) {
+// advance runs exchanges for the duration d.
+func (f *simFleet) advance(d clock.Millis) {
 	for end := f.now + d; f.now < end; f.now += simRound {
 		for _, i := range f.rng.Perm(len(f.all)) {
 			if !f.dead[i] {
 				f.ask(i)
-				f.askLost(i)
+				f.retryFailed(i)
 			}
 		}
 		f.round++
@@ -63,20 +64,20 @@
 	m := f.all[i]
 	m.Expire(f.now)
 	addr := m.NextPeer()
-	if seed := f.rng.IntN(simSeeds); addr == "" || (f.round+i)%simSeedEvery == 0 {
+	if seed := f.rng.IntN(simSeeds); addr == "" || (f.round+i)%simSeedInterval == 0 {
 		addr = f.addrs[seed]
 	}
-	f.askAt(i, addr)
+	f.exchange(i, addr)
 }
 
-// askLost has an entry ask one that it asked in vain.
-func (f *simFleet) askLost(i int) {
+// retryFailed lets an entry call a member whose last call failed.
+func (f *simFleet) retryFailed(i int) {
 	if addr := f.all[i].RandomFailed(); addr != "" {
-		f.askAt(i, addr)
+		f.exchange(i, addr)
 	}
 }
 
-func (f *simFleet) askAt(i int, addr string) {
+func (f *simFleet) exchange(i int, addr string) {
 	to := f.byAddr[addr]
 	if to == i {
 		return
@@ -85,47 +86,48 @@
 		f.all[i].MarkFailed(addr, f.now)
 		return
 	}
-	f.tell(i, to)
-	f.tell(to, i)
-	f.heard[to] += peers.LoadsAsked
-	f.heard[i] += peers.LoadsTold
+	f.send(i, to)
+	f.send(to, i)
+	f.loads[to] += peers.RequestLoads
+	f.loads[i] += peers.ResponseLoads
 }
 
-// tell has one entry hear what another knows.
-func (f *simFleet) tell(from, to int) {
+// send passes a message from one entry to another.
+func (f *simFleet) send(from, to int) {
 	for _, o := range f.all[from].Sample(f.now) {
 		f.all[to].Update(o, f.now)
 	}
 	f.all[to].Unpack(f.all[from].Pack(f.now), f.now)
 }
 
-// kill ends a share of the entries.
+// kill stops a share of the entries.
 func (f *simFleet) kill(share float64) {
 	for _, i := range f.rng.Perm(len(f.all))[:int(share*float64(len(f.all)))] {
 		f.dead[i] = true
 	}
 }
 
-// view is what the entries that live believe.
+// view summarizes what the live entries believe.
 type view struct {
-	// least and most are how many entries one knows, as parts of those that live.
-	least, most float64
-	// shares is what the parts of a whole sum up to.
+	// minKnown and maxKnown bound how many entries one knows, relative to those that
+	// live.
+	minKnown, maxKnown float64
+	// shares is the sum of the parts of a whole.
 	shares float64
-	// firsts is how many take themselves to be the first.
+	// firsts counts the entries that take themselves to rank first.
 	firsts int
 }
 
 func (f *simFleet) view() view {
 	const whole = 1_000_000
-	v := view{least: 1 << 30}
+	v := view{minKnown: 1 << 30}
 	living := float64(len(f.all) - len(f.dead))
 	for i, m := range f.all {
 		if f.dead[i] {
 			continue
 		}
 		part := float64(m.Count()) / living
-		v.least, v.most = min(v.least, part), max(v.most, part)
+		v.minKnown, v.maxKnown = min(v.minKnown, part), max(v.maxKnown, part)
 		v.shares += float64(peers.NewShares(f.addrs[i], m.Others(), 0).Part(whole, "engine")) / whole
 		if m.RanksFirst(f.now) {
 			v.firsts++
@@ -134,9 +136,9 @@
 	return v
 }
 
-// Hundreds of entries that start together, each knowing three, of which a tenth dies
-// later. Before members were packed each knew 37 of 103 and 43 of 1,000, and shares
-// summed up to 2.3 and 19 times the whole.
+// Hundreds of entries start together, each knowing three seeds, and a tenth dies later.
+// Before members were packed, each entry knew 37 of 103 and 43 of 1,000, and shares added
+// up to 2.3 and 19 times the whole.
 func TestEachEntryKnowsAllOthers(t *testing.T) {
 	for _, n := range []int{5, 27, 103, 300} {
 		t.Run(fmt.Sprintf("entries=%d", n), func(t *testing.T) {
@@ -146,34 +148,34 @@
 	}
 }
 
-// Guards against entries that are back after a loss of power and know each other only: the
-// seeds are among them, and the few that went on had asked all in vain.
-func TestEntriesThatAreBackAreFoundByThoseThatWentOn(t *testing.T) {
-	const entries, wentOn = 30, 3
+// Guards against entries that restart after a loss of power and know only each other: the
+// seeds are among them, and calls from the few survivors had failed for all of them.
+func TestRestartedEntriesAreFoundByThoseThatKeptRunning(t *testing.T) {
+	const entries, survivors = 30, 3
 	f := newSimFleet(entries)
-	f.pass(10_000)
-	for i := range entries - wentOn {
+	f.advance(10_000)
+	for i := range entries - survivors {
 		f.dead[i] = true
 	}
-	f.pass(8000)
-	for i := range entries - wentOn {
+	f.advance(8000)
+	for i := range entries - survivors {
 		f.all[i] = peers.NewMembers(peers.Member{Addr: f.addrs[i]})
 	}
 	clear(f.dead)
 	const rounds = 2
-	f.pass(rounds * simRound)
-	know := 0
-	for _, m := range f.all[:entries-wentOn] {
-		if slices.ContainsFunc(f.addrs[entries-wentOn:], func(addr string) bool { return slices.Contains(m.Others(), addr) }) {
-			know++
+	f.advance(rounds * simRound)
+	found := 0
+	for _, m := range f.all[:entries-survivors] {
+		if slices.ContainsFunc(f.addrs[entries-survivors:], func(addr string) bool { return slices.Contains(m.Others(), addr) }) {
+			found++
 		}
 	}
-	if want := (entries - wentOn) / 2; know < want {
-		t.Errorf("got %d of %d entries that are back and know one that went on after %d rounds, want %d", know, entries-wentOn, rounds, want)
+	if want := (entries - survivors) / 2; found < want {
+		t.Errorf("got %d of %d restarted entries that found a survivor after %d rounds, want at least %d", found, entries-survivors, rounds, want)
 	}
 }
 
-// The size of the plan is tried by hand: it takes minutes.
+// The planned fleet size takes minutes and is run by hand.
 func BenchmarkEachEntryKnowsAllOthers(b *testing.B) {
 	for _, n := range []int{1000, 3200} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
@@ -186,46 +188,46 @@
 
 func checkFleet(tb testing.TB, n int) {
 	f := newSimFleet(n)
-	f.pass(30_000 + 30*clock.Millis(n))
+	f.advance(30_000 + 30*clock.Millis(n))
 	v := f.view()
-	tb.Logf("%d entries in a quiet minute: %+v", n, v)
-	if v.least < 0.9 || v.most > 1.1 {
-		tb.Errorf("got counts of %.2f to %.2f of the truth, want them within a tenth", v.least, v.most)
+	tb.Logf("%d entries without faults: %+v", n, v)
+	if v.minKnown < 0.9 || v.maxKnown > 1.1 {
+		tb.Errorf("got counts of %.2f to %.2f times the real number, want 0.9 to 1.1", v.minKnown, v.maxKnown)
 	}
 	if v.shares < 0.9 || v.shares > 1.1 {
-		tb.Errorf("got shares that sum up to %.2f, want 0.9 to 1.1", v.shares)
+		tb.Errorf("got shares that add up to %.2f, want 0.9 to 1.1", v.shares)
 	}
 	if v.firsts != 1 {
-		tb.Errorf("got %d entries that take themselves to be first, want 1", v.firsts)
+		tb.Errorf("got %d entries that take themselves to rank first, want 1", v.firsts)
 	}
 	f.kill(0.1)
-	f.pass(5000)
+	f.advance(5000)
 	v = f.view()
 	tb.Logf("%d entries 5 s after a tenth died: %+v", n, v)
-	if v.least < 0.8 || v.most > 1.2 {
-		tb.Errorf("got counts of %.2f to %.2f of the truth 5 s after a tenth died, want them within a fifth", v.least, v.most)
+	if v.minKnown < 0.8 || v.maxKnown > 1.2 {
+		tb.Errorf("got counts of %.2f to %.2f times the real number 5 s after a tenth died, want 0.8 to 1.2", v.minKnown, v.maxKnown)
 	}
 }
 
-// The first seconds of traffic at a hundred entries, each of which sees a hundredth of it:
-// what it believes of the load of engines is what others tell. Few entries are asked by
-// many, so those that nobody asks must hear enough with their answers: with ten loads in
-// each message they heard of 25 a second, and 3.2% of the requests of these seconds met
-// an engine with over twice the mean and three.
-func TestEntriesThatNobodyAsksHearOfLoads(t *testing.T) {
-	const least, seconds = 50, 20
+// Covers the first seconds of traffic at a hundred entries. Each sees a hundredth of the
+// traffic and learns the loads of engines mostly from others. Many entries call the same
+// few, so those that no entry calls need enough loads in the responses that they get.
+// With ten loads in each message they received 25 a second, and 3.2% of the requests of
+// these seconds met an engine with over twice the mean load and three requests.
+func TestEntriesThatAreNeverCalledReceiveLoads(t *testing.T) {
+	const minRate, seconds = 50, 20
 	f := newSimFleet(103)
-	f.pass(30_000)
-	clear(f.heard)
-	f.pass(seconds * 1000)
-	for i, n := range f.heard {
-		if got := n / seconds; got < least {
-			t.Errorf("got %d loads a second at entry %d, want at least %d", got, i, least)
+	f.advance(30_000)
+	clear(f.loads)
+	f.advance(seconds * 1000)
+	for i, n := range f.loads {
+		if got := n / seconds; got < minRate {
+			t.Errorf("got %d loads a second at entry %d, want at least %d", got, i, minRate)
 		}
 	}
 }
 
-func TestPackedMembersAreNeverTakenToBeFresher(t *testing.T) {
+func TestPackedMembersNeverAppearFresher(t *testing.T) {
 	m := peers.NewMembers(peers.Member{Addr: "10.0.0.1:80"})
 	m.Update(peers.Member{Addr: "10.0.0.2:80", Age: 1}, 10_000)
 	to := peers.NewMembers(peers.Member{Addr: "10.0.0.3:80"})
@@ -235,11 +237,11 @@
 	}
 	to.Expire(9999 + 30_001)
 	if got, want := to.Count(), 1; got != want {
-		t.Errorf("got %d members over half a minute after the last sign, want %d", got, want)
+		t.Errorf("got %d members over 30 s after the last one was seen, want %d", got, want)
 	}
 }
 
-// What a peer sends is bounded and need not be what it should be.
+// Input from a peer is limited in size and may be malformed.
 func FuzzUnpack(f *testing.F) {
 	m := peers.NewMembers(peers.Member{Addr: "10.0.0.1:80"})
 	m.Update(peers.Member{Addr: "10.0.0.2:80"}, 1000)
@@ -250,12 +252,12 @@
 		m := peers.NewMembers(peers.Member{Addr: "10.0.0.1:80"})
 		m.Unpack(text, 1000)
 		if got := m.Count(); got > 17 || (got > 1 && m.NextPeer() == "") {
-			t.Errorf("got %d members of %q, want at most 17, and one to ask", got, text)
+			t.Errorf("got %d members from %q, want at most 17, and one to call", got, text)
 		}
 	})
 }
 
-func TestLoadsArriveAsTheyWereTold(t *testing.T) {
+func TestLoadsSurviveEncoding(t *testing.T) {
 	in := peers.Loads{{Incarnation: 7, Requests: 12, Age: 130}, {Incarnation: 1 << 31, Requests: 0, Age: 0}, {Incarnation: 9, Requests: 70_000, Age: 1}}
 	text, err := json.Marshal(in)
 	if err != nil {
@@ -266,11 +268,11 @@
 		t.Fatal(err)
 	}
 	if want := in[:2]; !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v: what does not fit is left out", got, want)
+		t.Errorf("got %v, want %v: loads that do not fit are left out", got, want)
 	}
 	for _, text := range []string{`"%"`, `7`, `[{"e":"i-1"}]`, `null`, `"` + strings.Repeat("A", 300) + `"`} {
 		if err := json.Unmarshal([]byte(text), &got); err != nil || len(got) != 0 {
-			t.Errorf("got %v, %v of %s, want no loads", got, err, text)
+			t.Errorf("got %v, %v from %s, want no loads", got, err, text)
 		}
 	}
 }
--- a/peers/silent_test.go
+++ b/peers/silent_test.go
@@ -15,51 +15,53 @@
 	"github.com/weldfall/weldfall/peers/changes"
 )
 
-// facts counts the answers that a process hears.
-type facts struct {
-	mu    sync.Mutex
-	heard int
+// fakeHost counts the statuses that it receives.
+type fakeHost struct {
+	mu       sync.Mutex
+	statuses int
 }
 
-func (f *facts) LocalStatus(int, int) peers.Status { return peers.Status{} }
+func (f *fakeHost) LocalStatus(int, int) peers.Status { return peers.Status{} }
 
-func (f *facts) ReceiveStatus(string, peers.Status, clock.Millis) {
+func (f *fakeHost) ReceiveStatus(string, peers.Status, clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard++
+	f.statuses++
 }
 
-func (f *facts) answers() int {
+func (f *fakeHost) responses() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard
+	return f.statuses
 }
 
-func (f *facts) Stop() peers.Stop                        { return peers.Stop{} }
-func (f *facts) SetOthers(string, []string)              {}
-func (f *facts) SetFleet(peers.Fleet)                    {}
-func (f *facts) ReceiveLoads([]peers.Load, clock.Millis) {}
+func (f *fakeHost) Stop() peers.Stop                        { return peers.Stop{} }
+func (f *fakeHost) SetOthers(string, []string)              {}
+func (f *fakeHost) SetFleet(peers.Fleet)                    {}
+func (f *fakeHost) ReceiveLoads([]peers.Load, clock.Millis) {}
 
-func (f *facts) WantedChanges(uint32) (changes.Position, bool)       { return changes.Position{}, false }
-func (f *facts) ChangesSince(changes.Position) (changes.Delta, bool) { return changes.Delta{}, false }
-func (f *facts) ReceiveChanges(string, changes.Delta, clock.Millis)  {}
-func (f *facts) ReceiveSuspects(string, string)                      {}
+func (f *fakeHost) WantedChanges(uint32) (changes.Position, bool) { return changes.Position{}, false }
+func (f *fakeHost) ChangesSince(changes.Position) (changes.Delta, bool) {
+	return changes.Delta{}, false
+}
+func (f *fakeHost) ReceiveChanges(string, changes.Delta, clock.Millis) {}
+func (f *fakeHost) ReceiveSuspects(string, string)                     {}
 
-func (f *facts) BroadcastSuspects() {}
+func (f *fakeHost) BroadcastSuspects() {}
 
-func (f *facts) SuspectsPending() <-chan struct{} { return nil }
+func (f *fakeHost) SuspectsPending() <-chan struct{} { return nil }
 
-func (f *facts) TakeSuspects() string { return "" }
+func (f *fakeHost) TakeSuspects() string { return "" }
 
-// When all connections between entries fall silent, each loses one question and
-// then asks over new connections.
-func TestPeersAskOverNewConnectionsWhenAllAreSilent(t *testing.T) {
+// When all connections between entries fall silent, each entry loses one request and then
+// uses new connections.
+func TestPeersRedialWhenAllConnectionsAreSilent(t *testing.T) {
 	for _, way := range []linktest.Way{linktest.There, linktest.Back, linktest.Both} {
 		t.Run(string(way), func(t *testing.T) {
 			t.Parallel()
 			const entries = 4
-			links, all, known := meet(t, entries)
-			wait(t, "acquaintance", func() bool {
+			links, all, known := startLinked(t, entries)
+			wait(t, "full member lists", func() bool {
 				for _, p := range known {
 					if p.Count() < entries {
 						return false
@@ -67,18 +69,18 @@
 				}
 				return true
 			})
-			// Each has asked each of its neighbours.
+			// By now each entry has called each of its neighbors.
 			time.Sleep(3 * time.Second)
 			before := make([]int, entries)
 			for i, l := range links {
 				l.Silence(way)
-				before[i] = all[i].answers()
+				before[i] = all[i].responses()
 			}
 			at := time.Now()
 			const rounds = 8
-			wait(t, "answers", func() bool {
+			wait(t, "responses", func() bool {
 				for i, f := range all {
-					if f.answers() < before[i]+rounds {
+					if f.responses() < before[i]+rounds {
 						return false
 					}
 				}
@@ -88,16 +90,16 @@
 			for _, l := range links {
 				lost += l.Lost()
 			}
-			t.Logf("%d rounds of %d entries took %v, %d questions were lost on their way", rounds, entries, time.Since(at), lost)
+			t.Logf("%d rounds of %d entries took %v, %d requests were lost", rounds, entries, time.Since(at), lost)
 			if way != linktest.Back && lost > entries {
-				t.Errorf("got %d questions lost on silent connections, want at most one of each entry", lost)
+				t.Errorf("got %d requests lost on silent connections, want at most one for each entry", lost)
 			}
 		})
 	}
 }
 
-// meet starts entries that know each other by links.
-func meet(t *testing.T, n int) (links []*linktest.Link, all []*facts, known []*peers.Peers) {
+// startLinked starts entries that reach each other through links.
+func startLinked(t *testing.T, n int) (links []*linktest.Link, all []*fakeHost, known []*peers.Peers) {
 	t.Helper()
 	lns := make([]net.Listener, n)
 	for i := range n {
@@ -109,7 +111,7 @@
 		links = append(links, linktest.New(t, ln.Addr().String()))
 	}
 	for i := range n {
-		f := &facts{}
+		f := &fakeHost{}
 		p := peers.New(peers.Config{
 			ID: fmt.Sprintf("e%d", i), Addr: links[i].Addr(), Seeds: []string{links[0].Addr()}, Host: f,
 			Clock: clock.System(), Log: slog.New(slog.DiscardHandler),
@@ -129,7 +131,7 @@
 	return links, all, known
 }
 
-// wait waits until ok, far longer than it should take.
+// wait waits until ok returns true, far longer than that should take.
 func wait(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 3000 {
