--- a/gate/call.go
+++ b/gate/call.go
@@ -70,7 +70,7 @@
 	// chosenBy is how the latest engine was chosen. sentBefore is true if this entry had sent
 	// the prompt there before. hasSource is true if the engine was told which other engine
 	// has a longer prefix.
-	chosenBy   engines.How
+	chosenBy   engines.Basis
 	sentBefore bool
 	hasSource  bool
 	// fetchCostsMore is true if the engine was not told because a fetch costs more than the
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -42,13 +42,13 @@
 
 // warmup returns the limits for engines of the request's service that are in warm-up. The
 // caller holds mu.
-func (g *Gate) warmup(c *call) engines.Cold {
+func (g *Gate) warmup(c *call) engines.Warmup {
 	s, ok := c.table.Service(c.service)
 	b := g.bounds()
 	if !ok || s.Warmup <= 0 || b.WarmupOverrun+b.WarmupExtra <= 0 {
-		return engines.Cold{}
+		return engines.Warmup{}
 	}
-	return engines.Cold{For: s.Warmup, Most: func(id string) int { return g.warmupQuota(s, id) }}
+	return engines.Warmup{Duration: s.Warmup, MaxRequests: func(id string) int { return g.warmupQuota(s, id) }}
 }
 
 // warmupQuota returns this entry's part of the quota of an engine in warm-up. The caller
--- a/gate/list.go
+++ b/gate/list.go
@@ -10,22 +10,22 @@
 	before := g.book.Get(in.ID)
 	change := g.book.Put(in, g.clk.Now())
 	g.limitConns(g.table.Load(), in)
-	rivals := g.book.Rivals(in.ID)
+	rivals := g.book.AddrConflicts(in.ID)
 	g.mu.Unlock()
 	switch change {
 	case engines.Same:
 		return
-	case engines.TurnedCold:
-		g.log.Info("engine_cold", "engine", in.ID, "service", in.Service, "for_ms", in.ColdFor)
+	case engines.WarmupStarted:
+		g.log.Info("engine_cold", "engine", in.ID, "service", in.Service, "for_ms", in.WarmupLeft)
 		return
 	case engines.Restarted:
 		// Connections to the earlier incarnation are of no more use.
 		g.pool.Forget(before.Info().Addr)
 		g.recordEnd(before.Info())
 	}
-	g.log.Info("engine", "change", string(change), "engine", in.ID, "born", in.Born, "service", in.Service, "addr", in.Addr, "hall", in.Hall)
+	g.log.Info("engine", "change", string(change), "engine", in.ID, "born", in.StartedAt, "service", in.Service, "addr", in.Addr, "hall", in.Hall)
 	for _, o := range rivals {
-		g.log.Warn("engine_address_shared", "addr", in.Addr, "engine", in.ID, "born", in.Born, "other", o.ID, "other_born", o.Born)
+		g.log.Warn("engine_address_shared", "addr", in.Addr, "engine", in.ID, "born", in.StartedAt, "other", o.ID, "other_born", o.StartedAt)
 	}
 }
 
@@ -40,15 +40,15 @@
 	}
 	g.pool.Forget(in.Addr)
 	g.recordEnd(in)
-	g.log.Info("engine", "change", string(engines.Gone), "engine", id, "service", in.Service, "addr", in.Addr, "cause", cause)
+	g.log.Info("engine", "change", string(engines.Removed), "engine", id, "service", in.Service, "addr", in.Addr, "cause", cause)
 }
 
 // recordEnd records that an incarnation of an engine has ended by the list. If it had
 // reported that it was draining, it ended as planned, whatever ran there.
 func (g *Gate) recordEnd(in engines.Info) {
-	mark := in.Incarnation().Mark()
+	mark := in.Incarnation().Hash()
 	g.guard.ConfirmCrash(mark)
-	if !in.Leaving {
+	if !in.Draining {
 		g.guard.RecordIncarnationEnd(mark, in.ID, endedByList)
 	}
 }
@@ -73,7 +73,7 @@
 // MarkEngineMissing records that an engine is missing from the list and may come back.
 func (g *Gate) MarkEngineMissing(id string) {
 	g.mu.Lock()
-	changed := g.book.Doubt(id)
+	changed := g.book.MarkMissing(id)
 	g.mu.Unlock()
 	if changed {
 		g.log.Info("engine", "change", string(engines.Missing), "engine", id, "cause", "missing from the list after the store was unavailable")
@@ -83,7 +83,7 @@
 // MarkEngineUnreadable records that the entry of an engine is invalid.
 func (g *Gate) MarkEngineUnreadable(id, cause string) {
 	g.mu.Lock()
-	changed := g.book.Mask(id)
+	changed := g.book.MarkUnreadable(id)
 	g.mu.Unlock()
 	if changed {
 		g.log.Warn("engine", "change", string(engines.Unreadable), "engine", id, "cause", cause)
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -30,8 +30,8 @@
 	io.Reader
 	// Buffered returns how many bytes can be read without waiting.
 	Buffered() int
-	// Limit sets the time within which the next bytes must arrive.
-	Limit(d clock.Millis)
+	// SetReadTimeout sets the time within which the next bytes must arrive.
+	SetReadTimeout(d clock.Millis)
 }
 
 // Exchange is the exchange with an engine that a response belongs to.
@@ -93,12 +93,12 @@
 	if p.end(err); !errors.Is(err, io.EOF) {
 		return brokenOrGone(ctx, err)
 	}
-	h := &attempt.Held{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.End}
+	h := &attempt.BufferedResponse{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.End}
 	switch {
 	case impliesNotRun(head.StatusCode):
 		return attempt.Broken{Err: fmt.Errorf("status %d without the header that says that the request did not run", head.StatusCode)}
 	case head.StatusCode >= http.StatusInternalServerError:
-		return attempt.Failed{Answer: h}
+		return attempt.Failed{Response: h}
 	}
 	p.WriteBuffered(h)
 	return attempt.Answered{End: h.End}
@@ -120,7 +120,7 @@
 	p.begin(head.StatusCode, head.Header, p.observed.Framing, head.ContentLength)
 	// The timeout for the header no longer applies: the request cannot be retried any more,
 	// and the caller may be slow.
-	body.Limit(x.TimeLeft())
+	body.SetReadTimeout(x.TimeLeft())
 	if err := p.write(first); err != nil {
 		return attempt.CallerGone{}
 	}
@@ -148,12 +148,12 @@
 func (p *Reply) relayStream(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
 	buf := make([]byte, bufferSize)
 	for {
-		body.Limit(x.ReadTimeout())
+		body.SetReadTimeout(x.ReadTimeout())
 		n, err := body.Read(buf)
 		if n > 0 {
 			x.OnRead()
 		}
-		whole, ok := p.splitter.Add(buf[:n])
+		whole, ok := p.splitter.Split(buf[:n])
 		if !ok {
 			err = errTooLong
 		}
@@ -166,7 +166,7 @@
 			whole = append(whole, p.splitter.Pending()...)
 		}
 		if err != nil {
-			p.splitter.Drop()
+			p.splitter.DropPending()
 		}
 		if (len(whole) > 0 || ended) && !p.passEvents(x, head, whole) {
 			return attempt.CallerGone{}
@@ -189,7 +189,7 @@
 	switch {
 	case !errors.Is(err, io.EOF):
 		return err
-	case p.splitter.Inside():
+	case p.splitter.MidEvent():
 		return errInsideEvent
 	case p.observed.End == framing.Closed && p.framing == framing.Chunked:
 		return ErrEndUnconfirmed
@@ -200,7 +200,7 @@
 // end records how a response ended from the error that ended reading it.
 func (p *Reply) end(err error) {
 	p.observed.End = p.observed.Framing.End(err)
-	if p.splitter.Inside() {
+	if p.splitter.MidEvent() {
 		p.observed.End, p.observed.PartialBytes = framing.Incomplete, len(p.splitter.Pending())
 	}
 }
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -53,7 +53,7 @@
 func (g *Gate) budget(service string) *serviceBudget {
 	bounds := g.bounds()
 	cfg := budget.Config{
-		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.startedAt,
+		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.MaxArrivalDelay, StartedAt: g.startedAt,
 		Extra: bounds.RetryExtra / float64(max(minRetryParts, retryPartsPerEntry*g.maxEntries)),
 	}
 	if b := g.budgets[service]; b != nil {
@@ -86,7 +86,7 @@
 // grantRetry takes a retry from the budget of a service, unless the ended attempt did not
 // reach its engine.
 func (g *Gate) grantRetry(service string, o attempt.Outcome, now clock.Millis) grant {
-	if _, ok := o.(attempt.Unsent); ok {
+	if _, ok := o.(attempt.NotSent); ok {
 		return grantFree
 	}
 	g.mu.Lock()
--- a/gate/server.go
+++ b/gate/server.go
@@ -28,10 +28,10 @@
 	defer cancel(nil)
 	c.cancel = cancel
 	defer g.shutdown.done(c)
-	defer callers.Follow(ctx, cancel)()
+	defer callers.OnDisconnect(ctx, cancel)()
 	g.serve(ctx, c)
 	if c.reply.Aborted() {
-		callers.BreakOff(w, r)
+		callers.Abort(w, r)
 	}
 }
 
@@ -47,7 +47,7 @@
 // ended or the grace is over.
 func (g *Gate) Run(ctx context.Context, ln net.Listener) error {
 	srv := callers.New(callers.Config{
-		Handler: g, MaxHeader: maxHeaderBytes, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
+		Handler: g, MaxHeaderBytes: maxHeaderBytes, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
 	})
 	sweepCtx, stopSweep := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSweep()
@@ -81,7 +81,7 @@
 
 // sweep discards expired state and logs retries.
 func (g *Gate) sweep() {
-	g.pool.Sweep()
+	g.pool.CloseExpired()
 	g.guard.Sweep()
 	g.logRetries()
 }
--- a/gate/suspend.go
+++ b/gate/suspend.go
@@ -20,7 +20,7 @@
 // requests are cancelled here.
 func (g *Gate) onSuspend(gap clock.Millis) {
 	g.log.Warn("suspended", "gap_ms", gap)
-	g.pool.ForgetIdle()
+	g.pool.CloseIdle()
 	clock.Sleep(context.Background(), overdueDelay)
 	if n := g.shutdown.abortOverdue(g.clk.Now()); n > 0 {
 		g.log.Warn("overdue", "requests", n, "gap_ms", gap)
