--- a/gate/amnesia.go
+++ b/gate/amnesia.go
@@ -13,7 +13,7 @@
 func (g *Gate) beginUnknownHistory() {
 	now := g.clk.Now()
 	g.mu.Lock()
-	begins := len(g.book.IDs()) > 0
+	begins := len(g.registry.IDs()) > 0
 	if begins {
 		g.historyUnknownUntil = now + historyUnknownFor
 	}
--- a/gate/call.go
+++ b/gate/call.go
@@ -68,13 +68,13 @@
 	// unsent is the number of engines that could not be reached.
 	unsent int
 	// chosenBy is how the latest engine was chosen. sentBefore is true if this entry had sent
-	// the prompt there before. hasSource is true if the engine was told which other engine
-	// has a longer prefix.
+	// the prompt there before. hasSource is true if the engine was given the
+	// address of another one that has a longer prefix.
 	chosenBy   engines.How
 	sentBefore bool
 	hasSource  bool
-	// fetchCostsMore is true if the engine was not told because a fetch costs more than the
-	// prefill. prefillMillis is the known prefill time in milliseconds a token.
+	// fetchCostsMore is true if the engine was not given one, because a fetch costs more than
+	// the prefill. prefillMillis is the known prefill time in milliseconds a token.
 	fetchCostsMore bool
 	prefillMillis  float64
 	engineLoad     float64
@@ -117,12 +117,12 @@
 	if c.route == nil || c.reply.BytesWritten() == 0 {
 		return ""
 	}
-	came := now
+	arrived := now
 	if c.route.Kind == table.Stream {
-		came = c.reply.FirstAt()
+		arrived = c.reply.FirstAt()
 	}
 	switch {
-	case c.route.Goal > 0 && came-c.start > c.route.Goal:
+	case c.route.Goal > 0 && arrived-c.start > c.route.Goal:
 		return "first"
 	case c.route.PauseGoal > 0 && c.reply.LongestPause() > c.route.PauseGoal:
 		return "pause"
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -25,19 +25,19 @@
 func (g *Gate) SetOthers(self string, others []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if most := len(others) + 1; most > g.maxEntries {
-		g.maxEntries = most
+	if n := len(others) + 1; n > g.maxEntries {
+		g.maxEntries = n
 		g.limitAllConns(g.table.Load())
 	}
-	least := g.maxEntries
+	minEntries := g.maxEntries
 	if len(others) == 0 || g.clk.Now()-g.startedAt <= discoveryTime {
-		least = max(least, assumedEntries)
+		minEntries = max(minEntries, assumedEntries)
 	}
-	if g.warmupParts != nil && slices.Equal(others, g.others) && least == g.minEntries {
+	if g.warmupParts != nil && slices.Equal(others, g.others) && minEntries == g.minEntries {
 		return
 	}
-	g.others, g.minEntries = others, least
-	g.shares, g.warmupParts = peers.NewShares(self, others, least), map[string]int{}
+	g.others, g.minEntries = others, minEntries
+	g.shares, g.warmupParts = peers.NewShares(self, others, minEntries), map[string]int{}
 }
 
 // warmup returns the limits for engines of the request's service that are in warm-up. The
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -54,7 +54,7 @@
 		return false
 	}
 	g.mu.Lock()
-	known := g.book.Find(e.Incarnation())
+	known := g.registry.Find(e.Incarnation())
 	now := g.clk.Now()
 	quiet := known != nil && known.QuietSince(since, now) && known.MayAsk(now)
 	g.mu.Unlock()
@@ -75,7 +75,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, hash := range hashes {
-		if e := g.book.Marked(hash); e != nil {
+		if e := g.registry.Marked(hash); e != nil {
 			c.tried = append(c.tried, e.Info().ID)
 		}
 	}
--- a/gate/evacuate.go
+++ b/gate/evacuate.go
@@ -26,7 +26,7 @@
 	g.mu.Lock()
 	before := g.evacuated
 	g.evacuated = halls
-	g.book.Evacuate(halls, g.clk.Now())
+	g.registry.Evacuate(halls, g.clk.Now())
 	g.mu.Unlock()
 	g.logEvacuations("begun", halls, before)
 	g.logEvacuations("taken_back", before, halls)
@@ -39,7 +39,7 @@
 			continue
 		}
 		g.mu.Lock()
-		n := g.book.InHall(h)
+		n := g.registry.InHall(h)
 		g.mu.Unlock()
 		g.log.Info("evacuation", "change", change, "hall", h, "engines", n)
 	}
@@ -55,7 +55,7 @@
 // noEngine returns the error for a request for which there is no engine. The caller holds
 // mu.
 func (g *Gate) noEngine(c *call) *verdict.Error {
-	if n, all := g.book.Evacuated(c.service); n > 0 && n == all {
+	if n, all := g.registry.Evacuated(c.service); n > 0 && n == all {
 		return verdict.New(c.verdict(), verdict.NoEngine, "all %d engines of %s are in data halls under evacuation", n, c.service).WithRetryAfter(retryEvacuated)
 	}
 	return verdict.New(c.verdict(), verdict.NoEngine, "no engine of %s is available, %d tried", c.service, len(c.tried)).WithRetryAfter(retrySoon)
--- a/gate/facts.go
+++ b/gate/facts.go
@@ -110,7 +110,7 @@
 	}
 	s.SuspectsComplete = g.knowsHistory(now)
 	s.ListSum, s.ListAge = g.reportList(now)
-	for _, l := range g.book.Loads(maxLoadAge, loads, now) {
+	for _, l := range g.registry.Loads(maxLoadAge, loads, now) {
 		s.Loads = append(s.Loads, peers.Load{Incarnation: l.Mark(), Requests: l.Requests, Age: l.Age})
 	}
 	return s
@@ -181,7 +181,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range loads {
-		if e := g.book.Marked(l.Incarnation); e != nil && l.Age >= 0 && l.Requests >= 0 {
+		if e := g.registry.Marked(l.Incarnation); e != nil && l.Age >= 0 && l.Requests >= 0 {
 			e.Told(engines.Load{Running: l.Requests}, at-l.Age)
 		}
 	}
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -131,9 +131,9 @@
 	startedAt clock.Millis
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	book    *engines.Book
-	budgets map[string]*serviceBudget
+	mu       sync.Mutex
+	registry *engines.Book
+	budgets  map[string]*serviceBudget
 	// evacuated lists the data halls under evacuation, sorted.
 	evacuated []string
 	// tableFreshness is when the table and the evacuations, which are read together, were
@@ -196,8 +196,8 @@
 	g := &Gate{
 		cfg: cfg, clk: cfg.Clock, log: cfg.Log, wire: d, style: failureStyle(d.RequestID),
 		reserved: headerSet(d.Reserved), internal: headerSet(d.Internal),
-		pool: upstream.NewPool(cfg.Clock, upstream.Names{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
-		book: engines.NewBook(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
+		pool:     upstream.NewPool(cfg.Clock, upstream.Names{RequestID: d.RequestID, NotRun: d.NotRun}, cfg.Link, cfg.Log),
+		registry: engines.NewBook(), budgets: map[string]*serviceBudget{}, counts: newCounts(),
 		durations: duration.NewEstimator(), prefillSpeeds: map[string]*prefill.Speed{}, guard: quarantine.NewGuard(cfg.Clock, cfg.Log), shutdown: shutdown{inFlight: map[*call]struct{}{}}, startedAt: cfg.Clock.Now(), epoch: fresh.NewEpoch(rewriteFor), epochReportedAt: -peerAheadFor - 1,
 	}
 	g.shutdown.estimate = g.estimate
@@ -264,8 +264,8 @@
 
 // limitAllConns limits the connections to every engine. The caller holds mu.
 func (g *Gate) limitAllConns(t *table.Table) {
-	for _, id := range g.book.IDs() {
-		g.limitConns(t, g.book.Get(id).Info())
+	for _, id := range g.registry.IDs() {
+		g.limitConns(t, g.registry.Get(id).Info())
 	}
 }
 
@@ -273,7 +273,7 @@
 func (g *Gate) EngineIDs() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.IDs()
+	return g.registry.IDs()
 }
 
 // Ready reports whether the gate can serve requests.
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -12,13 +12,13 @@
 	"github.com/weldfall/weldfall/peers"
 )
 
-// Stopping.
+// Times of a shutdown.
 const (
 	// graceMargin is the part of the grace that is reserved for the end of the process: for
 	// errors to callers whose responses have not begun, and for the last log lines.
 	graceMargin clock.Millis = 250
-	// finalAnswersTime is how long sending those errors may take.
-	finalAnswersTime clock.Millis = 100
+	// finalErrorsTimeout is how long sending those errors may take.
+	finalErrorsTimeout clock.Millis = 100
 )
 
 // errGraceOver is the cancellation cause of requests that are still in flight when the
@@ -48,40 +48,40 @@
 }
 
 // started reports whether the process is stopping.
-func (l *shutdown) started() bool { return l.endsBy.Load() != 0 }
+func (s *shutdown) started() bool { return s.endsBy.Load() != 0 }
 
 // admit records a call as in flight. It returns false once the process aborts what is in
 // flight, since the call would be missed.
-func (l *shutdown) admit(c *call) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.aborting.Load() {
+func (s *shutdown) admit(c *call) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.aborting.Load() {
 		return false
 	}
-	l.admittedAt.Store(int64(c.start))
-	l.inFlight[c] = struct{}{}
+	s.admittedAt.Store(int64(c.start))
+	s.inFlight[c] = struct{}{}
 	return true
 }
 
 // done removes a call that has ended.
-func (l *shutdown) done(c *call) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.inFlight, c)
+func (s *shutdown) done(c *call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.inFlight, c)
 }
 
 // estimateFor returns the estimated duration of the response to a call, as estimated when
 // the stopping process first needed it.
-func (l *shutdown) estimateFor(c *call) duration.Estimate {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.estimateLocked(c)
+func (s *shutdown) estimateFor(c *call) duration.Estimate {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.estimateLocked(c)
 }
 
 // estimateLocked is estimateFor for callers that hold mu.
-func (l *shutdown) estimateLocked(c *call) duration.Estimate {
+func (s *shutdown) estimateLocked(c *call) duration.Estimate {
 	if c.estimate == nil {
-		e := l.estimate(c)
+		e := s.estimate(c)
 		c.estimate = &e
 	}
 	return *c.estimate
@@ -89,28 +89,28 @@
 
 // busyUntil returns when all calls in flight have ended at the latest, zero if there are
 // none.
-func (l *shutdown) busyUntil() clock.Millis {
-	return l.lastEnd(func(e duration.Estimate) clock.Millis { return e.Max })
+func (s *shutdown) busyUntil() clock.Millis {
+	return s.lastEnd(func(e duration.Estimate) clock.Millis { return e.Max })
 }
 
-// lastEnd returns the latest end of the calls in flight, where duration selects the
+// lastEnd returns the latest end of the calls in flight, where length selects the
 // duration from an estimate.
-func (l *shutdown) lastEnd(duration func(duration.Estimate) clock.Millis) clock.Millis {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *shutdown) lastEnd(length func(duration.Estimate) clock.Millis) clock.Millis {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var at clock.Millis
-	for c := range l.inFlight {
-		at = max(at, c.start+duration(l.estimateLocked(c)))
+	for c := range s.inFlight {
+		at = max(at, c.start+length(s.estimateLocked(c)))
 	}
 	return at
 }
 
 // abortAll cancels the exchanges of all calls in flight.
-func (l *shutdown) abortAll() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.aborting.Store(true)
-	for c := range l.inFlight {
+func (s *shutdown) abortAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.aborting.Store(true)
+	for c := range s.inFlight {
 		c.cancel(errGraceOver)
 	}
 }
@@ -144,8 +144,8 @@
 	srv.Drain(end, busy, func() clock.Millis { return clock.Millis(g.shutdown.admittedAt.Load()) })
 	left := g.active.Load()
 	g.shutdown.abortAll()
-	for deadline := g.clk.Now() + finalAnswersTime; (busy() || srv.UnderWay() > 0) && g.clk.Now() < deadline; {
-		clock.Sleep(context.Background(), finalAnswersTime/10)
+	for deadline := g.clk.Now() + finalErrorsTimeout; (busy() || srv.UnderWay() > 0) && g.clk.Now() < deadline; {
+		clock.Sleep(context.Background(), finalErrorsTimeout/10)
 	}
 	g.counts.cutAtStop.Add(int(left))
 	// Connections that are still open are closed with the process.
--- a/gate/list.go
+++ b/gate/list.go
@@ -7,10 +7,10 @@
 // PutEngine records an engine of the list.
 func (g *Gate) PutEngine(in engines.Info) {
 	g.mu.Lock()
-	before := g.book.Get(in.ID)
-	change := g.book.Put(in, g.clk.Now())
+	before := g.registry.Get(in.ID)
+	change := g.registry.Put(in, g.clk.Now())
 	g.limitConns(g.table.Load(), in)
-	rivals := g.book.Rivals(in.ID)
+	rivals := g.registry.Rivals(in.ID)
 	g.mu.Unlock()
 	switch change {
 	case engines.Same:
@@ -32,7 +32,7 @@
 // RemoveEngine records that an engine is no longer listed.
 func (g *Gate) RemoveEngine(id, cause string) {
 	g.mu.Lock()
-	in, ok := g.book.Remove(id)
+	in, ok := g.registry.Remove(id)
 	delete(g.warmupParts, id)
 	g.mu.Unlock()
 	if !ok {
@@ -57,7 +57,7 @@
 // was wrong.
 func (g *Gate) ForgetEngine(id string) {
 	g.mu.Lock()
-	g.book.Forget(id)
+	g.registry.Forget(id)
 	delete(g.warmupParts, id)
 	g.mu.Unlock()
 	g.log.Info("engine", "change", string(engines.Forgotten), "engine", id, "cause", "the store does not confirm what peers reported of the engine")
@@ -67,13 +67,13 @@
 func (g *Gate) WasListed(n engines.Incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.WasListed(n)
+	return g.registry.WasListed(n)
 }
 
 // MarkEngineMissing records that an engine is missing from the list and may come back.
 func (g *Gate) MarkEngineMissing(id string) {
 	g.mu.Lock()
-	changed := g.book.Doubt(id)
+	changed := g.registry.Doubt(id)
 	g.mu.Unlock()
 	if changed {
 		g.log.Info("engine", "change", string(engines.Missing), "engine", id, "cause", "missing from the list after the store was unavailable")
@@ -83,7 +83,7 @@
 // MarkEngineUnreadable records that the entry of an engine is invalid.
 func (g *Gate) MarkEngineUnreadable(id, cause string) {
 	g.mu.Lock()
-	changed := g.book.Mask(id)
+	changed := g.registry.Mask(id)
 	g.mu.Unlock()
 	if changed {
 		g.log.Warn("engine", "change", string(engines.Unreadable), "engine", id, "cause", cause)
--- a/gate/listing.go
+++ b/gate/listing.go
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if first = !g.listFreshness.Known(); first {
-		g.book.Settle(at)
+		g.registry.Settle(at)
 	}
 	g.list.readAt, g.list.unverifiedSince = at, 0
 	g.setList(sum, at)
--- a/gate/place.go
+++ b/gate/place.go
@@ -23,7 +23,7 @@
 	bound, slack := engines.PromptBound(g.bounds().LoadBound)
 	service, _ := c.table.Service(c.service)
 	cost := engines.Cost{Read: g.prefillMillis(c.service), Move: service.MoveTime}
-	ch, ok := g.book.Choose(engines.Query{
+	ch, ok := g.registry.Choose(engines.Query{
 		Service: c.service, Keys: c.prefixKeys, Tokens: c.prefixTokens, Cost: cost, Bound: bound, Slack: slack,
 		Silence: maxSilence(c.route), Cold: g.warmup(c), Tried: c.tried, Alone: alone, Random: random(),
 	}, now)
@@ -67,7 +67,7 @@
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.book.Find(n)
+	e := g.registry.Find(n)
 	if e == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 func (g *Gate) finish(n engines.Incarnation, o engines.Outcome) {
 	now := g.clk.Now()
 	g.mu.Lock()
-	e := g.book.Find(n)
+	e := g.registry.Find(n)
 	if e == nil {
 		g.mu.Unlock()
 		return
@@ -118,7 +118,7 @@
 	for !g.shutdown.aborting.Load() {
 		clock.Sleep(context.Background(), reconnectPeriod)
 		g.mu.Lock()
-		e := g.book.Find(n)
+		e := g.registry.Find(n)
 		if e == nil {
 			g.mu.Unlock()
 			return
--- a/gate/stay.go
+++ b/gate/stay.go
@@ -18,10 +18,10 @@
 	// restartSpread is the interval over which retries of callers are spread once an entry is
 	// back, so that they do not all arrive at once.
 	restartSpread clock.Millis = 500
-	// servingPerRefusing is the number of serving entries for each stopping entry that may
+	// servingPerRejecting is the number of serving entries for each stopping entry that may
 	// reject requests it could still finish while the load balancer sends it callers. Those
 	// callers retry at another entry, and often only once.
-	servingPerRefusing = 10
+	servingPerRejecting = 10
 )
 
 // admit rejects requests that a stopping process might have to abort and, if other entries
@@ -56,23 +56,23 @@
 	// A request that was admitted is finished, also if others serve in place of this entry
 	// by now.
 	r.until = clock.Millis(g.shutdown.endsBy.Load())
-	takes := g.shutdown.estimateFor(c)
-	need := min(r.needed(takes), c.timeLeft(now))
+	estimate := g.shutdown.estimateFor(c)
+	need := min(r.needed(estimate), c.timeLeft(now))
 	if now+need <= r.until {
 		return nil
 	}
-	g.logAdmission(c, takes, false, need, r)
+	g.logAdmission(c, estimate, false, need, r)
 	return g.notAdmitted(now, need, r)
 }
 
 // checkAdmission rejects requests that a stopping process does not admit.
 func (g *Gate) checkAdmission(c *call) *verdict.Error {
 	r := g.admissionLimit()
-	takes := g.shutdown.estimateFor(c)
-	need := r.needed(takes)
-	taken := c.start+need <= r.until
-	g.logAdmission(c, takes, taken, need, r)
-	if !taken {
+	estimate := g.shutdown.estimateFor(c)
+	need := r.needed(estimate)
+	admitted := c.start+need <= r.until
+	g.logAdmission(c, estimate, admitted, need, r)
+	if !admitted {
 		return g.notAdmitted(c.start, need, r)
 	}
 	return nil
@@ -131,33 +131,33 @@
 // response that is admitted then is aborted with a probability of one in 280 (six thousand
 // simulated stops).
 func (g *Gate) admissionLimit() admissionLimit {
-	by := clock.Millis(g.shutdown.endsBy.Load())
+	endsBy := clock.Millis(g.shutdown.endsBy.Load())
 	balancerSends := !g.shutdown.idleClosed.Load()
-	if !g.mayRefuse(balancerSends) {
-		return admissionLimit{until: by, typical: balancerSends}
+	if !g.mayReject(balancerSends) {
+		return admissionLimit{until: endsBy, typical: balancerSends}
 	}
 	until := g.shutdown.busyUntil()
 	if balancerSends {
 		until = max(until, clock.Millis(g.shutdown.startedAt.Load())+g.bounds().BalancerLag)
 	}
-	return admissionLimit{until: min(by, until)}
+	return admissionLimit{until: min(endsBy, until)}
 }
 
-// mayRefuse reports whether this stopping entry may reject requests because other entries
+// mayReject reports whether this stopping entry may reject requests because other entries
 // serve in its place. A rejected caller retries at a random entry, and often only once. So
 // the number of stopping entries that reject is at most the number that serve; the first to
 // stop may always reject if another one stays longer. Without reports of other entries,
 // none rejects. While the load balancer still sends callers there are more of them, so one
-// entry rejects for each servingPerRefusing that serve.
-func (g *Gate) mayRefuse(balancerSends bool) bool {
+// entry rejects for each servingPerRejecting that serve.
+func (g *Gate) mayReject(balancerSends bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f := g.fleet
-	maxRefusing := f.Serving
+	maxRejecting := f.Serving
 	if balancerSends {
-		maxRefusing = f.Serving / servingPerRefusing
+		maxRejecting = f.Serving / servingPerRejecting
 	}
-	return f.Serving+f.StoppingAfter > 0 && f.StoppingBefore < max(1, maxRefusing)
+	return f.Serving+f.StoppingAfter > 0 && f.StoppingBefore < max(1, maxRejecting)
 }
 
 // retryAfterShutdown returns when a request that a stopping entry rejected may be retried:
@@ -183,9 +183,9 @@
 // logAdmission logs what a stopping process does with a request: its estimated duration and
 // the basis of the estimate, when it must have ended, and when the process ends at the
 // latest.
-func (g *Gate) logAdmission(c *call, takes duration.Estimate, taken bool, need clock.Millis, r admissionLimit) {
-	g.counts.stopping[taken].Inc()
-	g.log.Info("stopping", "request", c.id, "route", c.route.Name, "taken", taken, "need_ms", need, "usual", r.typical,
-		"basis", takes.Basis, "samples", takes.Samples, "process_age_ms", c.start-g.startedAt,
+func (g *Gate) logAdmission(c *call, estimate duration.Estimate, admitted bool, need clock.Millis, r admissionLimit) {
+	g.counts.stopping[admitted].Inc()
+	g.log.Info("stopping", "request", c.id, "route", c.route.Name, "taken", admitted, "need_ms", need, "usual", r.typical,
+		"basis", estimate.Basis, "samples", estimate.Samples, "process_age_ms", c.start-g.startedAt,
 		"room_ms", max(0, r.until-c.start), "ends_in_ms", clock.Millis(g.shutdown.endsBy.Load())-c.start)
 }
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -94,7 +94,7 @@
 	}
 	g.guard.RecordBrokenAttempt(c.suspect(), inc.Mark(), e.ID, silent)
 	g.mu.Lock()
-	crashed := g.book.Crashed(inc)
+	crashed := g.registry.Crashed(inc)
 	g.mu.Unlock()
 	if crashed {
 		g.guard.RecordIncarnationEnd(inc.Mark(), e.ID, endedByList)
@@ -126,7 +126,7 @@
 func (g *Gate) markLost(n engines.Incarnation) {
 	g.mu.Lock()
 	trust := engines.Unchanged
-	if e := g.book.Find(n); e != nil {
+	if e := g.registry.Find(n); e != nil {
 		trust = e.Lost(g.clk.Now())
 	}
 	g.mu.Unlock()
@@ -137,7 +137,7 @@
 func (g *Gate) reserve(hash uint32, until clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.book.Marked(hash); e != nil {
+	if e := g.registry.Marked(hash); e != nil {
 		e.Reserve(until)
 	}
 }
@@ -146,7 +146,7 @@
 func (g *Gate) isLost(hash uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.book.Marked(hash)
+	e := g.registry.Marked(hash)
 	return e != nil && e.Unreached()
 }
 
--- a/gate/suspend.go
+++ b/gate/suspend.go
@@ -29,11 +29,11 @@
 
 // abortOverdue cancels the exchanges of calls in flight whose deadline has passed and
 // returns their number.
-func (l *shutdown) abortOverdue(now clock.Millis) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *shutdown) abortOverdue(now clock.Millis) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	n := 0
-	for c := range l.inFlight {
+	for c := range s.inFlight {
 		if c.timeLeft(now) > 0 {
 			continue
 		}
