--- a/gate/epoch_test.go
+++ b/gate/epoch_test.go
@@ -11,15 +11,15 @@
 	"github.com/weldfall/weldfall/table"
 )
 
-// age is how old this entry says that its table is.
-func age(g *gate.Gate) clock.Millis { return g.LocalStatus(0, 0).TableAge }
+// tableAge returns the age of the table that the gate reports.
+func tableAge(g *gate.Gate) clock.Millis { return g.LocalStatus(0, 0).TableAge }
 
-// What a store says soon after it came back from an older copy proves nothing, nor does
-// word of a peer that speaks of another epoch.
-func TestOnlyAProofOfTheEpochProves(t *testing.T) {
+// A response of a store that was recently restored from an older copy confirms nothing, nor
+// does the report of a peer in another epoch.
+func TestOnlyTheCurrentEpochConfirmsTheTable(t *testing.T) {
 	for name, tc := range map[string]struct {
-		prove func(g *gate.Gate, clk *clock.Clock)
-		want  clock.Millis
+		confirm func(g *gate.Gate, clk *clock.Clock)
+		want    clock.Millis
 	}{
 		"the store, soon":  {func(g *gate.Gate, clk *clock.Clock) { g.ConfirmTable(2, clk.Now()) }, 2000},
 		"an earlier epoch": {func(g *gate.Gate, clk *clock.Clock) { g.ConfirmTable(1, clk.Now()) }, 2000},
@@ -27,7 +27,7 @@
 		"a peer of another epoch": {func(g *gate.Gate, clk *clock.Clock) {
 			g.ReceiveStatus("edge-2", peers.Status{Table: 5, Epoch: 1, EpochAge: 9000}, clk.Now())
 		}, 2000},
-		"a peer that knows the epoch for longer": {func(g *gate.Gate, clk *clock.Clock) {
+		"a peer that has known the epoch for longer": {func(g *gate.Gate, clk *clock.Clock) {
 			g.ReceiveStatus("edge-2", peers.Status{Table: 5, TableAge: 100, Epoch: 2, EpochAge: 9000}, clk.Now())
 		}, 100},
 		"an older version, later": {func(g *gate.Gate, clk *clock.Clock) {
@@ -45,9 +45,9 @@
 				time.Sleep(time.Second)
 				g.SetStoreEpoch(2, clk.Now())
 				time.Sleep(time.Second)
-				tc.prove(g, clk)
-				if got := age(g); got != tc.want {
-					t.Errorf("got a table that is %d ms old, want %d", got, tc.want)
+				tc.confirm(g, clk)
+				if got := tableAge(g); got != tc.want {
+					t.Errorf("got a table age of %d ms, want %d", got, tc.want)
 				}
 				if got := g.LocalStatus(0, 0).Table; got != 5 {
 					t.Errorf("got version %d in force, want 5", got)
@@ -57,41 +57,41 @@
 	}
 }
 
-// A version that another entry has in force and that the store does not show since it
-// came back holds off its proof, but not for ever: it may never be written again.
-func TestANewerVersionElsewhereHoldsOffAProofForAWhile(t *testing.T) {
+// A version that another entry has in force and that the restored store lacks delays
+// confirmations, but not forever, since it may never be written again.
+func TestNewerVersionOfAPeerDelaysConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := newGate(t, false)
 		g.SetStoreEpoch(2, clk.Now())
 		start := clk.Now()
-		for age(g) == clk.Now()-start && clk.Now()-start < 20_000 {
+		for tableAge(g) == clk.Now()-start && clk.Now()-start < 20_000 {
 			time.Sleep(400 * time.Millisecond)
 			g.ReceiveStatus("edge-2", peers.Status{Table: 6, Epoch: 2}, clk.Now())
 			g.ConfirmTable(2, clk.Now())
 		}
 		if got := clk.Now() - start; got < 9000 || got > 12_000 {
-			t.Errorf("got the proof after %d ms, want it after some ten seconds", got)
+			t.Errorf("got a confirmation after %d ms, want it after about ten seconds", got)
 		}
 	})
 }
 
-// A peer that lies of a later epoch makes the store be asked now and then, no more.
-func TestAPeerThatLiesOfAnEpochCostsLittle(t *testing.T) {
+// A peer that reports false later epochs causes a read of the store now and then, no more.
+func TestFalseEpochReportsCauseFewReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clk := newGate(t, false)
-		asked := 0
+		reads := 0
 		for n := range int64(100) {
 			g.ReceiveStatus("edge-2", peers.Status{Epoch: 10 + n}, clk.Now())
 			if g.TakeMissedEpoch() {
-				asked++
+				reads++
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if asked < 1 || asked > 5 {
-			t.Errorf("got the store asked %d times in 10 s, want once in two seconds at most", asked)
+		if reads < 1 || reads > 5 {
+			t.Errorf("got %d reads of the store in 10 s, want at most one in two seconds", reads)
 		}
 		if g.StoreMayBeStale(clk.Now()) {
-			t.Error("got doubts of the store by the word of a peer, want none")
+			t.Error("got a store that may be stale from the report of a peer alone, want not")
 		}
 	})
 }
--- a/gate/export_test.go
+++ b/gate/export_test.go
@@ -7,10 +7,10 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// ShareOf returns the gate's part of what all entries may do.
+// ShareOf returns this entry's part of a quota of the whole fleet.
 func (g *Gate) ShareOf(whole int, key string) int { return g.shares.Part(whole, key) }
 
-// Failure returns what a caller gets for a failure.
+// Failure returns the response to a caller for a failure.
 func (g *Gate) Failure(err *verdict.Error) *http.Response {
 	w := httptest.NewRecorder()
 	c := g.newCall(w, httptest.NewRequest(http.MethodGet, "/x", nil))
--- a/gate/failures_test.go
+++ b/gate/failures_test.go
@@ -9,7 +9,7 @@
 	"github.com/weldfall/weldfall/internal/failuretest"
 )
 
-// What a caller gets for a failure is a promise: statuses, headers and body.
+// Callers rely on the status, the headers and the body of each failure.
 func TestEachFailureIsToldAsBefore(t *testing.T) {
 	g := gate.New(gate.Config{ID: "edge-1", Clock: clock.System(), Log: slog.New(slog.DiscardHandler), Dialect: gate.Dialect{RequestID: "X-Id"}})
 	failuretest.Check(t, "testdata/failures.txt", g.Failure)
--- a/gate/prompt/prompt_test.go
+++ b/gate/prompt/prompt_test.go
@@ -7,15 +7,15 @@
 	"github.com/weldfall/weldfall/gate/prompt"
 )
 
-func TestPromptsThatBeginAlikeShareKeys(t *testing.T) {
+func TestCommonPrefixSharesKeys(t *testing.T) {
 	a := prompt.PrefixKeys(prompt.Parse("5c:800,91:410,e4:250"))
 	b := prompt.PrefixKeys(prompt.Parse("5c:800,91:410,ff:90"))
 	c := prompt.PrefixKeys(prompt.Parse("5c:800,92:410,e4:250"))
 	if len(a) != 2 || !slices.Equal(a, b) {
-		t.Errorf("got keys %v and %v for prompts that differ in their last part, want two equal ones", a, b)
+		t.Errorf("got keys %v and %v for prompts that differ in their last part, want two equal pairs", a, b)
 	}
 	if a[0] != c[0] || a[1] == c[1] {
-		t.Errorf("got keys %v and %v, want the first alone to be equal", a, c)
+		t.Errorf("got keys %v and %v, want only the first to be equal", a, c)
 	}
 	if got, want := prompt.PrefixTokens(prompt.Parse("5c:800,91:410,e4:250")), 1210; got != want {
 		t.Errorf("got %d shared tokens, want %d", got, want)
--- a/gate/relay/relay_test.go
+++ b/gate/relay/relay_test.go
@@ -21,38 +21,38 @@
 // exchange is an exchange without an engine.
 type exchange struct {
 	stream bool
-	// came counts the calls that tell of bytes of a stream, events is how many events were
-	// told of, and long is true if the answer was told to be long.
-	came, events int
-	long         bool
+	// reads counts the calls of OnRead, events is the argument of the last call of OnEvents,
+	// and unbuffered is true once OnUnbuffered was called.
+	reads, events int
+	unbuffered    bool
 }
 
 func (x *exchange) WantsStream() bool         { return x.stream }
 func (x *exchange) TimeLeft() clock.Millis    { return 1000 }
 func (x *exchange) ReadTimeout() clock.Millis { return 1000 }
-func (x *exchange) OnRead()                   { x.came++ }
+func (x *exchange) OnRead()                   { x.reads++ }
 func (x *exchange) OnEvents(events int)       { x.events = events }
-func (x *exchange) OnUnbuffered()             { x.long = true }
+func (x *exchange) OnUnbuffered()             { x.unbuffered = true }
 
-// body is the body of an answer.
+// body is the body of a response.
 type body struct{ io.Reader }
 
 func (body) Buffered() int      { return 0 }
 func (body) Limit(clock.Millis) {}
 
-// broken returns a reader that ends with a reset.
-func broken(r io.Reader) io.Reader { return io.MultiReader(r, failing{}) }
+// withReset returns a reader that ends with a connection reset.
+func withReset(r io.Reader) io.Reader { return io.MultiReader(r, resetReader{}) }
 
-type failing struct{}
+type resetReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, syscall.ECONNRESET }
+func (resetReader) Read([]byte) (int, error) { return 0, syscall.ECONNRESET }
 
-// answer reads the head of an engine's answer from its text, and returns it with the body.
-func answer(t *testing.T, text string, reset bool) (*http.Response, body) {
+// response parses the response of an engine up to its body.
+func response(t *testing.T, text string, reset bool) (*http.Response, body) {
 	t.Helper()
 	var r io.Reader = strings.NewReader(text)
 	if reset {
-		r = broken(r)
+		r = withReset(r)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(r), &http.Request{Method: http.MethodPost})
 	if err != nil {
@@ -61,12 +61,13 @@
 	return res, body{res.Body}
 }
 
-// newReply returns a reply to a caller of an HTTP version, and what the caller gets.
+// newReply returns a reply to a caller with an HTTP version, and a recorder of what the
+// caller gets.
 func newReply(proto string) (*relay.Reply, *httptest.ResponseRecorder) {
 	return newReplyTo(http.MethodPost, proto)
 }
 
-// newReplyTo returns a reply to a request of some method.
+// newReplyTo is newReply for a request method.
 func newReplyTo(method, proto string) (*relay.Reply, *httptest.ResponseRecorder) {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(method, "/", nil)
@@ -87,7 +88,7 @@
 	twoEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 )
 
-func TestTheOutcomeSaysWhatIsKnownOfTheEnd(t *testing.T) {
+func TestRelayOutcomes(t *testing.T) {
 	long := strings.Repeat("x", 300<<10)
 	inChunk := func(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 	cases := []struct {
@@ -99,8 +100,8 @@
 		outcome string
 		ended   framing.End
 		partial int
-		// told is what the caller can know, "" if its reply has not begun.
-		told framing.End
+		// seen is the end from the caller's point of view, "" if the reply has not begun.
+		seen framing.End
 		body string
 	}{
 		{"length", false, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell", false, "answered", framing.Complete, 0, framing.Complete, "well"},
@@ -123,18 +124,18 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			p, w := newReply("HTTP/1.1")
-			head, b := answer(t, tc.text, tc.reset)
+			head, b := response(t, tc.text, tc.reset)
 			got := "broken"
 			switch o := p.Relay(t.Context(), &exchange{stream: tc.stream}, head, b).(type) {
 			case attempt.Answered:
 				got = "answered"
 				if o.End != tc.ended {
-					t.Errorf("got an end that is %s, want %s", o.End, tc.ended)
+					t.Errorf("got end %s, want %s", o.End, tc.ended)
 				}
 			case attempt.Failed:
 				got = "failed"
 				if o.Answer.End != tc.ended {
-					t.Errorf("got a failure that is %s, want %s", o.Answer.End, tc.ended)
+					t.Errorf("got a failure with end %s, want %s", o.Answer.End, tc.ended)
 				}
 			}
 			if got != tc.outcome {
@@ -143,8 +144,8 @@
 			if a := p.Observed(); a.End != tc.ended || a.PartialBytes != tc.partial {
 				t.Errorf("got %s, %d bytes of an event, want %s, %d", a.End, a.PartialBytes, tc.ended, tc.partial)
 			}
-			if got := p.EndForCaller(); got != tc.told {
-				t.Errorf("got told as %q, want %q", got, tc.told)
+			if got := p.EndForCaller(); got != tc.seen {
+				t.Errorf("got the caller's end %q, want %q", got, tc.seen)
 			}
 			if got := w.Body.String(); got != tc.body {
 				t.Errorf("got %d bytes, want %d", len(got), len(tc.body))
@@ -153,34 +154,35 @@
 	}
 }
 
-func TestAReplyThatBreaksOffIsToldAsIncomplete(t *testing.T) {
+func TestAbortedReplyIsIncompleteForTheCaller(t *testing.T) {
 	p, _ := newReply("HTTP/1.1")
 	p.WriteFailure(http.StatusBadGateway, []byte("{}"))
 	if got, want := p.EndForCaller(), framing.Complete; got != want {
-		t.Errorf("got told as %s, want %s", got, want)
+		t.Errorf("got the caller's end %s, want %s", got, want)
 	}
 	p.MarkAborted()
 	if got, want := p.EndForCaller(), framing.Incomplete; got != want {
-		t.Errorf("got told as %s, want %s", got, want)
+		t.Errorf("got the caller's end %s, want %s", got, want)
 	}
 }
 
-// The rest of a stream that was taken up ends the reply only if the reply can say of it what is known.
-func TestARestWithoutAnEndOfItsOwn(t *testing.T) {
+// A continued stream without an end mark may end the reply only if the reply has no end
+// mark either.
+func TestContinuedStreamWithoutEndMark(t *testing.T) {
 	first := "HTTP/1.1 200 OK\r\n" + stream + chunks + "1e\r\n" + twoEvents + "\r\n"
 	rest := "HTTP/1.1 200 OK\r\n" + stream + "\r\nid: 3\ndata: c\n\n"
 	for proto, want := range map[string]string{"HTTP/1.1": "broken", "HTTP/1.0": "answered"} {
 		t.Run(proto, func(t *testing.T) {
 			p, w := newReply(proto)
 			x := &exchange{stream: true}
-			head, b := answer(t, first, false)
+			head, b := response(t, first, false)
 			if o, ok := p.Relay(t.Context(), x, head, b).(attempt.Broken); !ok || !errors.Is(o.Err, io.ErrUnexpectedEOF) {
-				t.Fatalf("got %v, want a stream that broke off", o)
+				t.Fatalf("got %v, want a broken stream", o)
 			}
 			if got, want := p.LastEventID(), "2"; got != want {
 				t.Errorf("got last event %s, want %s", got, want)
 			}
-			head, b = answer(t, rest, false)
+			head, b = response(t, rest, false)
 			o := p.Relay(t.Context(), x, head, b)
 			if _, ok := o.(attempt.Answered); ok != (want == "answered") {
 				t.Errorf("got %T, want %s", o, want)
@@ -188,19 +190,19 @@
 			if got, want := w.Body.String(), twoEvents+"id: 3\ndata: c\n\n"; got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
-			if x.events != 3 || x.came != 2 {
-				t.Errorf("got %d events in %d reads, want 3 in 2", x.events, x.came)
+			if x.events != 3 || x.reads != 2 {
+				t.Errorf("got %d events in %d reads, want 3 in 2", x.events, x.reads)
 			}
 		})
 	}
 }
 
-func TestACallerWhoLeftIsNoFaultOfTheEngine(t *testing.T) {
+func TestCancelledExchangeIsCallerGone(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	p, _ := newReply("HTTP/1.1")
-	head, b := answer(t, "HTTP/1.1 200 OK\r\n\r\nwell", true)
+	head, b := response(t, "HTTP/1.1 200 OK\r\n\r\nwell", true)
 	if o, ok := p.Relay(ctx, &exchange{}, head, b).(attempt.CallerGone); !ok {
-		t.Errorf("got %T, want that the caller left", o)
+		t.Errorf("got %T, want CallerGone", o)
 	}
 }
