--- a/entry/entry.go
+++ b/entry/entry.go
@@ -67,7 +67,7 @@
 	log      *slog.Logger
 	node     *fleet.Node
 	links    *link.Pool
-	offers   *offer.Offers
+	offers   *offer.Client
 	guard    *quarantine.Guard
 	gossip   *gossip.Gossip
 	limiters *limiters
@@ -162,7 +162,7 @@
 }
 
 // Frame implements link.Handler.
-func (e *Entry) Frame(f wire.Frame) { e.offers.Frame(f) }
+func (e *Entry) Frame(f wire.Frame) { e.offers.HandleFrame(f) }
 
 // Run serves callers on ln and peers on peers until ctx is done; then it
 // finishes what is in flight, within the drain time.
@@ -181,7 +181,7 @@
 		}
 	})
 	srv := callers.New(callers.Config{
-		Handler: e.handler(), MaxHeader: maxHeader, Clock: e.clk, Log: e.log,
+		Handler: e.handler(), MaxHeaderBytes: maxHeader, Clock: e.clk, Log: e.log,
 		Timeouts: func() (idle, head clock.Millis) { return idleTimeout, headerTimeout },
 	})
 	done := make(chan struct{})
@@ -250,10 +250,10 @@
 		}
 		ctx, cancel := context.WithCancelCause(r.Context())
 		defer cancel(nil)
-		defer callers.Follow(ctx, cancel)()
+		defer callers.OnDisconnect(ctx, cancel)()
 		e.serve(ctx, c)
 		if c.cut {
-			callers.BreakOff(w, r)
+			callers.Abort(w, r)
 		}
 		if c.err == nil {
 			c.finishStream()
@@ -264,7 +264,7 @@
 // unserved is the verdict for a request that no filter has seen. One with a
 // key may repeat another that has run.
 func unserved(r *http.Request) verdict.Verdict {
-	if r.Header.Get(chats.HeaderKey) != "" {
+	if r.Header.Get(chats.HeaderIdempotencyKey) != "" {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
--- a/gate/call.go
+++ b/gate/call.go
@@ -70,7 +70,7 @@
 	// chosenBy is how the latest engine was chosen. sentBefore is true if this entry had sent
 	// the prompt there before. hasSource is true if the engine was given the
 	// address of another one that has a longer prefix.
-	chosenBy   engines.How
+	chosenBy   engines.Basis
 	sentBefore bool
 	hasSource  bool
 	// fetchCostsMore is true if the engine was not given one, because a fetch costs more than
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -35,7 +35,7 @@
 	stop := clock.AfterUnless(wait, func() {
 		defer close(over)
 		if g.isUnresponsive(ctx, e, service.HealthPath, sent) {
-			g.guard.RecordUnresponsive(c.suspect(), e.Incarnation().Mark(), e.ID, sent)
+			g.guard.RecordUnresponsive(c.suspect(), e.Incarnation().Hash(), e.ID, sent)
 		}
 	})
 	return func() {
@@ -56,13 +56,13 @@
 	g.mu.Lock()
 	known := g.registry.Find(e.Incarnation())
 	now := g.clk.Now()
-	quiet := known != nil && known.QuietSince(since, now) && known.MayAsk(now)
+	quiet := known != nil && known.SilentSince(since, now) && known.AllowHealthCheck(now)
 	g.mu.Unlock()
 	if !quiet {
 		return false
 	}
 	req := &upstream.Request{Method: http.MethodGet, URI: healthPath, Host: e.Addr, Header: http.Header{g.wire.ExpectEngine: {e.ID}}}
-	return g.pool.Dark(ctx, e.Addr, req, since, healthCheckTimeout)
+	return g.pool.Unresponsive(ctx, e.Addr, req, since, healthCheckTimeout)
 }
 
 // skipUnresponsive keeps the request from engines that became unresponsive under it.
@@ -75,7 +75,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, hash := range hashes {
-		if e := g.registry.Marked(hash); e != nil {
+		if e := g.registry.ByHash(hash); e != nil {
 			c.tried = append(c.tried, e.Info().ID)
 		}
 	}
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -123,7 +123,7 @@
 		return peers.Stop{}
 	}
 	busy := g.shutdown.lastEnd(func(e duration.Estimate) clock.Millis { return e.Typical })
-	end := max(busy, since+g.bounds().BalancerLag+callers.Quiet)
+	end := max(busy, since+g.bounds().BalancerLag+callers.QuietPeriod)
 	return peers.Stop{Since: since, End: min(end, clock.Millis(g.shutdown.endsBy.Load()))}
 }
 
@@ -144,7 +144,7 @@
 	srv.Drain(end, busy, func() clock.Millis { return clock.Millis(g.shutdown.admittedAt.Load()) })
 	left := g.active.Load()
 	g.shutdown.abortAll()
-	for deadline := g.clk.Now() + finalErrorsTimeout; (busy() || srv.UnderWay() > 0) && g.clk.Now() < deadline; {
+	for deadline := g.clk.Now() + finalErrorsTimeout; (busy() || srv.ActiveConns() > 0) && g.clk.Now() < deadline; {
 		clock.Sleep(context.Background(), finalErrorsTimeout/10)
 	}
 	g.counts.cutAtStop.Add(int(left))
--- a/gate/place.go
+++ b/gate/place.go
@@ -20,12 +20,12 @@
 	if !g.knowsEvacuations(now) {
 		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's list of evacuations is %d ms old", g.tableFreshness.Age(now)).WithRetryAfter(g.retryElsewhere(now))
 	}
-	bound, slack := engines.PromptBound(g.bounds().LoadBound)
+	bound, slack := engines.AffinityBound(g.bounds().LoadBound)
 	service, _ := c.table.Service(c.service)
-	cost := engines.Cost{Read: g.prefillMillis(c.service), Move: service.MoveTime}
+	cost := engines.Cost{Prefill: g.prefillMillis(c.service), Transfer: service.MoveTime}
 	ch, ok := g.registry.Choose(engines.Query{
 		Service: c.service, Keys: c.prefixKeys, Tokens: c.prefixTokens, Cost: cost, Bound: bound, Slack: slack,
-		Silence: maxSilence(c.route), Cold: g.warmup(c), Tried: c.tried, Alone: alone, Random: random(),
+		MaxSilence: maxSilence(c.route), Warmup: g.warmup(c), Tried: c.tried, Isolated: alone, Random: random(),
 	}, now)
 	if !ok && alone {
 		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines crashed while they ran this request, and no engine of %s is free to run it in isolation", c.service).WithRetryAfter(retrySoon)
@@ -34,15 +34,15 @@
 		return pick{}, g.noEngine(c)
 	}
 	in := ch.Engine.Info()
-	ch.Engine.Start(now)
+	ch.Engine.BeginRequest(now)
 	c.sentAt = now
 	c.tried, c.alone = append(c.tried, in.ID), alone
-	c.chosenBy, c.sentBefore, c.engineLoad, c.meanLoad = ch.How, ch.Kept, ch.Load, ch.Mean
+	c.chosenBy, c.sentBefore, c.engineLoad, c.meanLoad = ch.Basis, ch.PrefixSent, ch.Load, ch.Mean
 	p := pick{Info: in}
 	if service.Moves && ch.Source != nil {
 		p.source = ch.Source.Info().Addr
 	}
-	c.hasSource, c.fetchCostsMore, c.prefillMillis = p.source != "", ch.Dearer, cost.Read
+	c.hasSource, c.fetchCostsMore, c.prefillMillis = p.source != "", ch.FetchTooCostly, cost.Prefill
 	return p, nil
 }
 
@@ -71,9 +71,9 @@
 	if e == nil {
 		return
 	}
-	e.Heard(now)
+	e.RecordActivity(now)
 	if l, ok := parseLoad(load); ok {
-		e.Told(l, now)
+		e.RecordLoad(l, now)
 	}
 }
 
@@ -87,23 +87,23 @@
 		g.mu.Unlock()
 		return
 	}
-	trust := e.Finish(o, now)
+	trust := e.EndRequest(o, now)
 	g.mu.Unlock()
 	g.applyTrust(n, trust, string(o))
 }
 
 // applyTrust logs a change of the trust in an engine and starts to reconnect to one that is
 // unreachable.
-func (g *Gate) applyTrust(n engines.Incarnation, t engines.Trust, cause string) {
+func (g *Gate) applyTrust(n engines.Incarnation, t engines.TrustChange, cause string) {
 	g.logTrust(n.ID, t, cause)
 	if t == engines.Suspected {
-		g.guard.ConfirmCrash(n.Mark())
+		g.guard.ConfirmCrash(n.Hash())
 		go g.reconnect(n)
 	}
 }
 
-func (g *Gate) logTrust(id string, t engines.Trust, cause string) {
-	if t != engines.Unchanged {
+func (g *Gate) logTrust(id string, t engines.TrustChange, cause string) {
+	if t != engines.TrustUnchanged {
 		g.log.Info("engine_trust", "engine", id, "trust", t, "cause", cause)
 	}
 }
@@ -123,13 +123,13 @@
 			g.mu.Unlock()
 			return
 		}
-		addr, sought := e.Info().Addr, e.TakesNew()
+		addr, sought := e.Info().Addr, e.AcceptsRequests()
 		g.mu.Unlock()
-		if !sought || g.pool.Open(addr) != nil {
+		if !sought || g.pool.Preconnect(addr) != nil {
 			continue
 		}
 		g.mu.Lock()
-		trust := e.Reached(g.clk.Now())
+		trust := e.MarkReached(g.clk.Now())
 		g.mu.Unlock()
 		g.logTrust(n.ID, trust, "connected")
 		return
--- a/gate/relay/relay_test.go
+++ b/gate/relay/relay_test.go
@@ -37,8 +37,8 @@
 // body is the body of a response.
 type body struct{ io.Reader }
 
-func (body) Buffered() int      { return 0 }
-func (body) Limit(clock.Millis) {}
+func (body) Buffered() int               { return 0 }
+func (body) SetReadTimeout(clock.Millis) {}
 
 // withReset returns a reader that ends with a connection reset.
 func withReset(r io.Reader) io.Reader { return io.MultiReader(r, resetReader{}) }
@@ -134,8 +134,8 @@
 				}
 			case attempt.Failed:
 				got = "failed"
-				if o.Answer.End != tc.ended {
-					t.Errorf("got a failure with end %s, want %s", o.Answer.End, tc.ended)
+				if o.Response.End != tc.ended {
+					t.Errorf("got a failure with end %s, want %s", o.Response.End, tc.ended)
 				}
 			}
 			if got != tc.outcome {
--- a/gate/relay/reply.go
+++ b/gate/relay/reply.go
@@ -73,7 +73,7 @@
 
 // CanContinue reports whether the response of another engine may become the reply or the
 // rest of it.
-func (p *Reply) CanContinue() bool { return !p.Started() || p.streaming && p.splitter.Numbered() }
+func (p *Reply) CanContinue() bool { return !p.Started() || p.streaming && p.splitter.Resumable() }
 
 // MarkAborted marks the reply to be aborted when its handler returns.
 func (p *Reply) MarkAborted() { p.aborted = true }
@@ -114,7 +114,7 @@
 func (p *Reply) LongestPause() clock.Millis { return p.pause }
 
 // WriteBuffered writes a response that was buffered until its end.
-func (p *Reply) WriteBuffered(h *attempt.Held) {
+func (p *Reply) WriteBuffered(h *attempt.BufferedResponse) {
 	f := framing.Length
 	if h.End == framing.Closed {
 		f = framing.UntilClose
@@ -146,10 +146,10 @@
 	case framing.Length:
 		p.cfg.W.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	case framing.UntilClose:
-		callers.UntilClose(p.cfg.W, p.cfg.R)
+		callers.SetUntilClose(p.cfg.W, p.cfg.R)
 	case framing.Chunked:
 	}
-	p.status, p.framing = status, callers.Framing(p.cfg.W, p.cfg.R)
+	p.status, p.framing = status, callers.ResponseFraming(p.cfg.W, p.cfg.R)
 	p.cfg.W.WriteHeader(status)
 }
 
--- a/gate/send.go
+++ b/gate/send.go
@@ -32,7 +32,7 @@
 	g.countRequest(c)
 	// held is the latest error response of an engine. It is the response to the caller if no
 	// other engine has a better one.
-	var held *attempt.Held
+	var held *attempt.BufferedResponse
 	for {
 		if err := g.recheckAdmission(c); err != nil {
 			return err
@@ -63,13 +63,13 @@
 			c.reply.MarkAborted()
 			return verdict.New(c.verdict(), verdict.CallerGone, "the caller closed the connection or stopped reading")
 		case attempt.Failed:
-			held = o.Answer
+			held = o.Response
 			if err := g.retryOrFail(c, o, e.Info); err != nil {
 				c.note = err.Error()
 				c.reply.WriteBuffered(held)
 				return nil
 			}
-		case attempt.Unsent, attempt.Refused, attempt.Broken:
+		case attempt.NotSent, attempt.Refused, attempt.Broken:
 			if err := g.retryOrFail(c, o, e.Info); err != nil {
 				return err
 			}
@@ -96,7 +96,7 @@
 		return g.engineRefused(e.Info, a)
 	}
 	c.ran++
-	g.guard.RecordAlive(e.Incarnation().Mark(), a.Opened())
+	g.guard.RecordAlive(e.Incarnation().Hash(), a.ConnectedAt())
 	o := g.relay(ctx, c, e.Info, a)
 	g.finish(e.Incarnation(), engineOutcome(ctx, o))
 	return o
@@ -114,7 +114,7 @@
 		if ctx.Err() != nil {
 			return attempt.CallerGone{}
 		}
-		return attempt.Unsent{Err: err}
+		return attempt.NotSent{Err: err}
 	case ctx.Err() != nil:
 		c.ran++
 		g.finish(e.Incarnation(), engines.Neutral)
@@ -127,7 +127,7 @@
 }
 
 // engineRefused returns the outcome of a response that says that the request did not run.
-func (g *Gate) engineRefused(e engines.Info, a *upstream.Answer) attempt.Outcome {
+func (g *Gate) engineRefused(e engines.Info, a *upstream.Response) attempt.Outcome {
 	discardRest(a)
 	g.finish(e.Incarnation(), engines.Refused)
 	return attempt.Refused{Err: fmt.Errorf("status %d", a.StatusCode)}
@@ -135,9 +135,9 @@
 
 // misdirected returns the outcome of a response from another engine that now has the
 // address. It says nothing about the engine that was meant.
-func (g *Gate) misdirected(e engines.Info, a *upstream.Answer) attempt.Outcome {
+func (g *Gate) misdirected(e engines.Info, a *upstream.Response) attempt.Outcome {
 	discardRest(a)
-	g.finish(e.Incarnation(), engines.Departed)
+	g.finish(e.Incarnation(), engines.Replaced)
 	return attempt.Refused{Err: fmt.Errorf("status %d: another engine is at %s", a.StatusCode, e.Addr)}
 }
 
@@ -145,15 +145,15 @@
 func engineOutcome(ctx context.Context, o attempt.Outcome) engines.Outcome {
 	switch o := o.(type) {
 	case attempt.Answered:
-		return engines.Good
+		return engines.Succeeded
 	case attempt.Broken:
 		if errors.Is(o.Err, relay.ErrEndUnconfirmed) {
-			return engines.Good
+			return engines.Succeeded
 		}
 		return failedOrNeutral(ctx)
 	case attempt.Failed:
 		return failedOrNeutral(ctx)
-	case attempt.CallerGone, attempt.Unsent, attempt.Refused:
+	case attempt.CallerGone, attempt.NotSent, attempt.Refused:
 	}
 	return engines.Neutral
 }
@@ -186,7 +186,7 @@
 	retryable := false
 	var final *verdict.Error
 	switch o := o.(type) {
-	case attempt.Unsent:
+	case attempt.NotSent:
 		c.unsent++
 		retryable = c.unsent < maxUnsent
 		final = verdict.New(c.verdict(), verdict.Unreachable, "%d engines of %s could not be reached: %w", c.unsent, c.service, o.Err)
@@ -199,7 +199,7 @@
 		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s: %w", e.ID, o.Err)
 	case attempt.Failed:
 		retryable = c.route.Repeatable() && c.ran < c.route.Attempts
-		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s responded with status %d", e.ID, o.Answer.Status)
+		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s responded with status %d", e.ID, o.Response.Status)
 	}
 	left := c.timeLeft(now)
 	granted := grantNone
@@ -224,7 +224,7 @@
 	switch o := o.(type) {
 	case attempt.Answered:
 		return "answered"
-	case attempt.Unsent:
+	case attempt.NotSent:
 		return "unsent"
 	case attempt.Refused:
 		return "refused"
