--- a/engines/attempt/attempt.go
+++ b/engines/attempt/attempt.go
@@ -42,7 +42,7 @@
 }
 
 func (Answered) outcome()   {}
-func (Unsent) outcome()    {}
+func (Unsent) outcome()     {}
 func (Refused) outcome()    {}
 func (Broken) outcome()     {}
 func (Failed) outcome()     {}
