--- a/commands/process.go
+++ b/commands/process.go
@@ -167,7 +167,7 @@
 	defer cancel()
 	go func() {
 		<-ctx.Done()
-		d.Leave(serveCtx)
+		d.Drain(serveCtx)
 		cancel()
 	}()
 	return d.Run(serveCtx, ln)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -185,7 +185,7 @@
 		if json.Unmarshal(params, &p) == nil && d.engines[p.Home] != nil {
 			e := d.engines[p.Home]
 			e.mu.Lock()
-			e.book.Placed(p.Chat, p.Engine)
+			e.book.RecordPlacement(p.Chat, p.Engine)
 			e.mu.Unlock()
 		}
 	default:
@@ -232,7 +232,7 @@
 	}
 	return route.State{
 		Mean: mean, Engines: engines, Bound: r.LoadBound, Floor: r.LoadFloor,
-		Leaving: d.isLeaving(),
+		Draining: d.isLeaving(),
 	}
 }
 
@@ -360,13 +360,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout.Duration())
 	defer cancel()
-	if err := e.client.Import(ctx, strconv.FormatUint(r.Chat, 16), r.Blob); err != nil {
+	if err := e.client.ImportPrefix(ctx, strconv.FormatUint(r.Chat, 16), r.Blob); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.keepsChats = true
-	e.book.Ran(r.Chat, r.Tokens, d.clk.Now())
+	e.book.RecordTurn(r.Chat, r.Tokens, d.clk.Now())
 	return nil
 }
 
--- a/daemon/leave.go
+++ b/daemon/drain.go
@@ -32,10 +32,10 @@
 // drainCheck is how often a leaving daemon looks whether it is done.
 const drainCheck clock.Millis = 20
 
-// Leave is the planned stop: new work is refused, what is queued or runs is
+// Drain is the planned stop: new work is refused, what is queued or runs is
 // finished within the drain time, and cached prefixes go to where their chats
 // go next. It returns the number of attempts that were cut off.
-func (d *Daemon) Leave(ctx context.Context) int {
+func (d *Daemon) Drain(ctx context.Context) int {
 	d.log.Info("leaving", "cause", "stop", "active", d.attempts.active())
 	d.startLeaving()
 	end := d.clk.Now() + d.settings().Leave.Drain()
@@ -84,7 +84,7 @@
 // handOverChat moves one prefix and reports whether it arrived.
 func (d *Daemon) handOverChat(ctx context.Context, e *engine, chat uint64) bool {
 	e.mu.Lock()
-	tokens := e.book.Cached(chat)
+	tokens := e.book.CachedTokens(chat)
 	e.mu.Unlock()
 	next, at := d.node.NextEngine(d.cfg.Pool, chat, e.id)
 	if next == "" || tokens == 0 {
@@ -92,7 +92,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout.Duration())
 	defer cancel()
-	blob, err := e.client.Export(ctx, strconv.FormatUint(chat, 16))
+	blob, err := e.client.ExportPrefix(ctx, strconv.FormatUint(chat, 16))
 	if err != nil {
 		return false
 	}
@@ -104,7 +104,7 @@
 		return false
 	}
 	e.mu.Lock()
-	e.book.Evicted(chat, d.clk.Now())
+	e.book.RecordEvicted(chat, d.clk.Now())
 	e.mu.Unlock()
 	return true
 }
--- a/daemon/engine.go
+++ b/daemon/engine.go
@@ -30,7 +30,7 @@
 	queue   *fair.Queue
 	queued  map[uint64]*attempt
 	granted map[uint64]chan fair.Item
-	book    *route.Book
+	book    *route.CacheIndex
 	// keepsChats is true once a chat was offered or brought here: only then is there
 	// an engine that reports load and memory. A plain service would run the
 	// questions, two a second, as requests of callers.
@@ -54,7 +54,7 @@
 	return &engine{
 		id: id, others: others, log: log, client: target.New(addr), clk: clk,
 		queue: fair.New(1, max(1, slots)), queued: map[uint64]*attempt{}, granted: map[uint64]chan fair.Item{},
-		book: route.NewBook(defaultCache), serviceTime: 100,
+		book: route.NewCacheIndex(defaultCache), serviceTime: 100,
 	}
 }
 
@@ -92,7 +92,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.Engine, s.Requests, s.Slots = e.id, e.requests(), e.queue.Slots()
-	s.Owed = e.queue.Owed(r.Partner, share(r.PartnerShare), e.clk.Now())
+	s.UnderShare = e.queue.UnderShare(r.Partner, share(r.PartnerShare), e.clk.Now())
 	e.keepsChats = e.keepsChats || r.Chat != 0
 	offer := route.Offer{Chat: r.Chat, Mode: r.Mode}
 	res := wire.Result{Verdict: verdict.NotRun, Refused: true, Loads: []wire.Load{{Engine: e.id, Requests: e.requests()}}}
@@ -130,7 +130,7 @@
 
 func refusal(r route.Refuse) (verdict.Reason, string) {
 	switch {
-	case r.Leaving:
+	case r.Draining:
 		return verdict.Leaving, "the engine is leaving"
 	case r.NotCached:
 		return verdict.NotCached, "the chat is not cached here"
@@ -197,11 +197,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	believed := e.book.Cached(chat)
+	believed := e.book.CachedTokens(chat)
 	if believed > 0 && u.Cached == 0 {
 		metrics.GetOrCreateCounter("weldfall_stale_belief_total").Inc()
 	}
-	e.book.Ran(chat, u.Prompt+u.Completion, e.clk.Now())
+	e.book.RecordTurn(chat, u.Prompt+u.Completion, e.clk.Now())
 }
 
 const (
@@ -222,7 +222,7 @@
 			e.readReports(ctx, reserveRatio())
 		}
 		e.mu.Lock()
-		e.queue.Forget(e.clk.Now())
+		e.queue.PruneIdle(e.clk.Now())
 		// A reserve that is no longer needed is given out.
 		e.dispatch()
 		e.mu.Unlock()
@@ -244,7 +244,7 @@
 	}
 	after := e.events.after()
 	e.mu.Unlock()
-	if events, err := e.client.Events(ctx, after); err == nil {
+	if events, err := e.client.CacheEvents(ctx, after); err == nil {
 		e.learn(events, report.CacheTokens)
 	}
 }
@@ -257,10 +257,10 @@
 func (e *engine) learn(events []target.CacheEvent, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.events.restarted(events, float64(tokens) < emptyPart*float64(e.book.Tokens())) {
+	if e.events.restarted(events, float64(tokens) < emptyPart*float64(e.book.TotalTokens())) {
 		e.log.Warn("engine_restarted", "engine", e.id, "chats_forgotten", len(e.book.Chats()))
 		metrics.GetOrCreateCounter("weldfall_engine_restarts_total").Inc()
-		e.book.Forget()
+		e.book.Clear()
 		return
 	}
 	now := e.clk.Now()
@@ -269,9 +269,9 @@
 		switch {
 		case err != nil:
 		case ev.Kind == target.EventEvicted:
-			e.book.Evicted(chat, now-ev.Age)
+			e.book.RecordEvicted(chat, now-ev.Age)
 		case ev.Kind == target.EventStored:
-			e.book.Stored(chat, ev.Tokens, now-ev.Age)
+			e.book.RecordStored(chat, ev.Tokens, now-ev.Age)
 		}
 	}
 }
--- a/daemon/fair/queue.go
+++ b/daemon/fair/queue.go
@@ -51,9 +51,9 @@
 	lastPush clock.Millis
 }
 
-// Presence is how long after its latest request a partner still counts as
+// ActiveWindow is how long after its latest request a partner still counts as
 // one that slots are kept free for.
-const Presence clock.Millis = 10_000
+const ActiveWindow clock.Millis = 10_000
 
 // Queue is a bounded fair queue. It is not safe for concurrent use.
 type Queue struct {
@@ -126,7 +126,7 @@
 	}
 	p := q.root.active[0]
 	if q.slots-q.running <= q.reserve {
-		if p = q.underShare(now); p == nil {
+		if p = q.nextUnderShare(now); p == nil {
 			return Item{}, false
 		}
 	}
@@ -144,17 +144,17 @@
 func (q *Queue) presentShares(now clock.Millis) float64 {
 	total := 0.0
 	for _, c := range q.root.children {
-		if c.index >= 0 || c.running > 0 || now-c.lastPush < Presence {
+		if c.index >= 0 || c.running > 0 || now-c.lastPush < ActiveWindow {
 			total += c.share
 		}
 	}
 	return total
 }
 
-// Owed reports whether others wait here while the partner has less than its
+// UnderShare reports whether others wait here while the partner has less than its
 // share of the slots, running and waiting: its next request will be served
 // before theirs, so that their waiting is no reason to turn it away.
-func (q *Queue) Owed(partner string, share float64, now clock.Millis) bool {
+func (q *Queue) UnderShare(partner string, share float64, now clock.Millis) bool {
 	if q.length == 0 {
 		return false
 	}
@@ -164,7 +164,7 @@
 		for _, w := range c.children {
 			has += w.items.Len()
 		}
-		if c.index < 0 && c.running == 0 && now-c.lastPush >= Presence {
+		if c.index < 0 && c.running == 0 && now-c.lastPush >= ActiveWindow {
 			total += share
 		}
 	} else {
@@ -173,9 +173,9 @@
 	return float64(has) < float64(q.slots)*share/total
 }
 
-// underShare returns the waiting partner furthest behind among those that run
+// nextUnderShare returns the waiting partner furthest behind among those that run
 // less than their share of the slots, nil if there is none.
-func (q *Queue) underShare(now clock.Millis) *flow {
+func (q *Queue) nextUnderShare(now clock.Millis) *flow {
 	total := q.presentShares(now)
 	var best *flow
 	for _, c := range q.root.active {
@@ -221,13 +221,13 @@
 	}
 }
 
-// Forget drops flows that wait for nothing and are not ahead of the others,
+// PruneIdle drops flows that wait for nothing and are not ahead of the others,
 // so that memory follows the active workspaces.
-func (q *Queue) Forget(now clock.Millis) {
+func (q *Queue) PruneIdle(now clock.Millis) {
 	for _, p := range q.root.children {
 		p.forget(func(*flow) bool { return true })
 	}
-	q.root.forget(func(p *flow) bool { return p.running == 0 && now-p.lastPush >= Presence })
+	q.root.forget(func(p *flow) bool { return p.running == 0 && now-p.lastPush >= ActiveWindow })
 }
 
 // Flows returns the number of partners and workspaces remembered.
--- a/daemon/fair/queue_test.go
+++ b/daemon/fair/queue_test.go
@@ -93,22 +93,22 @@
 func TestAPartnerUnderItsShareIsOwedASlotOnlyWhereOthersWait(t *testing.T) {
 	q := fair.New(100, 4)
 	push := func(id uint64, partner string) { q.Push(item(id, partner, "w", 10), 0) }
-	if q.Owed("b", 1, 0) {
+	if q.UnderShare("b", 1, 0) {
 		t.Error("idle engine: got owed, want the bound to hold")
 	}
 	for i := range uint64(8) {
 		push(i, "a")
 		q.Pop(0)
 	}
-	if q.Owed("a", 1, 0) {
+	if q.UnderShare("a", 1, 0) {
 		t.Error("alone and waiting: got owed, want not")
 	}
-	if !q.Owed("b", 1, 0) {
+	if !q.UnderShare("b", 1, 0) {
 		t.Error("another that has nothing: got not owed, want owed")
 	}
 	push(100, "b")
 	push(101, "b")
-	if q.Owed("b", 1, 0) {
+	if q.UnderShare("b", 1, 0) {
 		t.Error("with half of the slots: got owed, want not")
 	}
 }
@@ -148,7 +148,7 @@
 					t.Fatalf("remove %d: got %v, want %v", id, got, want)
 				}
 				delete(waiting, id)
-				q.Forget(0)
+				q.PruneIdle(0)
 			}
 			if q.Len() != len(waiting) || q.Len() > limit {
 				t.Fatalf("got length %d, want %d within %d", q.Len(), len(waiting), limit)
@@ -163,7 +163,7 @@
 		q.Push(item(i, "p", fmt.Sprint("w", i), 10), 0)
 		q.Pop(0)
 		if i%100 == 99 {
-			q.Forget(0)
+			q.PruneIdle(0)
 		}
 	}
 	if got := q.Flows(); got > 250 {
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -36,7 +36,7 @@
 	r := a.run
 	req := target.Request{
 		Attempt: strconv.FormatUint(r.Attempt, 16), Key: r.Request, Priority: r.Priority,
-		Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body, Once: r.Once != nil,
+		Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body, AtMostOnce: r.Once != nil,
 	}
 	if r.Chat != 0 {
 		req.CacheKey = strconv.FormatUint(r.Chat, 16)
@@ -78,7 +78,7 @@
 // endedLife returns the mark of the engine's life if that is over, else zero. An engine
 // that does not know an attempt which it had has started again meanwhile.
 func (e *engine) endedLife(err error) uint32 {
-	if !errors.Is(err, target.ErrEnded) && !errors.Is(err, target.ErrUnknownAttempt) && !e.client.Ended(context.Background()) {
+	if !errors.Is(err, target.ErrExited) && !errors.Is(err, target.ErrUnknownAttempt) && !e.client.Exited(context.Background()) {
 		return 0
 	}
 	return e.lives.end(e.clk.Now())
@@ -267,7 +267,7 @@
 		if err == nil {
 			return res, nil
 		}
-		if errors.Is(err, target.ErrUnknownAttempt) || errors.Is(err, target.ErrEnded) {
+		if errors.Is(err, target.ErrUnknownAttempt) || errors.Is(err, target.ErrExited) {
 			return nil, err
 		}
 		cause = err
--- a/daemon/target/export_test.go
+++ b/daemon/target/export_test.go
@@ -1,7 +1,7 @@
 package target
 
-// Ended is ended, for the tests.
-var Ended = ended
+// Exited is exited, for the tests.
+var Exited = exited
 
 // MaxControlAnswer is maxControlAnswer, for the tests.
 const MaxControlAnswer = maxControlAnswer
--- a/daemon/target/target.go
+++ b/daemon/target/target.go
@@ -61,8 +61,8 @@
 	Path     string
 	Header   map[string]string
 	Body     []byte
-	// Once is true for a request that must not be sent a second time.
-	Once bool
+	// AtMostOnce is true for a request that must not be sent a second time.
+	AtMostOnce bool
 }
 
 // ErrNotSent means that nothing of a request reached the target, so that it
@@ -88,36 +88,36 @@
 	// The transport must not send a request twice on its own.
 	req.GetBody = nil
 	client := c.http
-	if r.Once {
+	if r.AtMostOnce {
 		client = c.fresh
 	}
 	res, err := client.Do(req)
 	// A request without a body may have been sent before on a connection that
 	// broke, and be sent again by the transport; then a refusal proves nothing.
-	again := !r.Once && len(r.Body) == 0
+	again := !r.AtMostOnce && len(r.Body) == 0
 	if errors.Is(err, syscall.ECONNREFUSED) && !again {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	return res, err
 }
 
-// ErrEnded means that the target's process has ended: its machine answers and refuses
+// ErrExited means that the target's process has ended: its machine answers and refuses
 // connections. What it had is lost.
-var ErrEnded = errors.New("target has ended")
+var ErrExited = errors.New("target has ended")
 
 // closeLag is how long an ended process may take to close its listener after its first
 // connections: the kernel closes one after the other, and may let others run in between.
 const closeLag = 20 * time.Millisecond
 
-// Ended reports whether the target's process has ended.
-func (c *Client) Ended(ctx context.Context) bool {
-	return ended(func() (net.Conn, error) { return c.dialer.DialContext(ctx, "tcp", c.addr) })
+// Exited reports whether the target's process has ended.
+func (c *Client) Exited(ctx context.Context) bool {
+	return exited(func() (net.Conn, error) { return c.dialer.DialContext(ctx, "tcp", c.addr) })
 }
 
-// ended reports whether a process has ended to which a new connection is refused. This
+// exited reports whether a process has ended to which a new connection is refused. This
 // process stands beside the target, and asks so soon that one which is ending may still
 // listen: such a connection is reset at once, and the next one refused.
-func ended(connect func() (net.Conn, error)) bool {
+func exited(connect func() (net.Conn, error)) bool {
 	nc, err := connect()
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
@@ -151,7 +151,7 @@
 	}
 	res, err := c.http.Do(req)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("resume %s: %w: %w", attempt, ErrEnded, err)
+		return nil, fmt.Errorf("resume %s: %w: %w", attempt, ErrExited, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("resume %s: %w", attempt, err)
@@ -209,21 +209,21 @@
 	Age clock.Millis `json:"age_ms"`
 }
 
-// Events reads the cache events after a sequence number. They come late, and
+// CacheEvents reads the cache events after a sequence number. They come late, and
 // numbers may be missing.
-func (c *Client) Events(ctx context.Context, after int64) ([]CacheEvent, error) {
+func (c *Client) CacheEvents(ctx context.Context, after int64) ([]CacheEvent, error) {
 	var out []CacheEvent
 	return out, c.call(ctx, http.MethodGet, "/cache/events?after="+strconv.FormatInt(after, 10), nil, &out)
 }
 
-// Export reads the cached prefix of a chat.
-func (c *Client) Export(ctx context.Context, key string) ([]byte, error) {
+// ExportPrefix reads the cached prefix of a chat.
+func (c *Client) ExportPrefix(ctx context.Context, key string) ([]byte, error) {
 	var out json.RawMessage
 	return out, c.call(ctx, http.MethodGet, "/cache/export/"+key, nil, &out)
 }
 
-// Import stores a prefix that another engine exported.
-func (c *Client) Import(ctx context.Context, key string, blob []byte) error {
+// ImportPrefix stores a prefix that another engine exported.
+func (c *Client) ImportPrefix(ctx context.Context, key string, blob []byte) error {
 	return c.call(ctx, http.MethodPost, "/cache/import/"+key, blob, nil)
 }
 
--- a/daemon/target/target_test.go
+++ b/daemon/target/target_test.go
@@ -37,7 +37,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := 0
-			got := target.Ended(func() (net.Conn, error) {
+			got := target.Exited(func() (net.Conn, error) {
 				if n++; n > tc.taken {
 					return nil, refused
 				}
@@ -72,7 +72,7 @@
 			callers.SetUntilClose(w, r)
 			_, _ = w.Write([]byte(prefix[:n]))
 		}))
-		if got, err := target.New(srv.Listener.Addr().String()).Export(t.Context(), "1"); err == nil {
+		if got, err := target.New(srv.Listener.Addr().String()).ExportPrefix(t.Context(), "1"); err == nil {
 			t.Errorf("got %q, want an error", got)
 		}
 		srv.Close()
--- a/daemon/verdict_test.go
+++ b/daemon/verdict_test.go
@@ -131,7 +131,7 @@
 	go func() { done <- call[wire.Result](t, c, wire.MethodRun, run(1, 60)) }()
 	clock.Sleep(context.Background(), 50)
 	left := make(chan int)
-	go func() { left <- d.Leave(context.Background()) }()
+	go func() { left <- d.Drain(context.Background()) }()
 	clock.Sleep(context.Background(), 50)
 	if got := call[wire.Result](t, c, wire.MethodRun, run(2, 5)); got.Verdict != verdict.NotRun || got.Reason != verdict.Leaving || !got.Refused {
 		t.Errorf("new work: got %+v, want a refusal", got)
--- a/entry/send.go
+++ b/entry/send.go
@@ -25,7 +25,7 @@
 	e.budget.earn(c.values.Retry.BudgetRatio)
 	q := route.Query{
 		Key: c.chatKey, Affine: c.chatKey != 0, Returning: c.returning, Named: c.named, Hint: c.hint,
-		Bound: c.values.Routing.LoadBound, Floor: c.values.Routing.LoadFloor, Max: c.values.Retry.Attempts,
+		Bound: c.values.Routing.LoadBound, Floor: c.values.Routing.LoadFloor, MaxTries: c.values.Retry.Attempts,
 	}
 	if q.Key == 0 {
 		q.Key = rand.Uint64()
--- a/fleet/handle.go
+++ b/fleet/handle.go
@@ -83,7 +83,7 @@
 	defer n.invalidateTargets()
 	if it.Gone {
 		n.view.SetUnlisted(it.Key, now)
-		n.loads.Forget(n.listedEngines())
+		n.loads.Retain(n.listedEngines())
 		n.cfg.Log.Info("instance_gone", "instance", it.Key, "revision", it.Rev)
 		return
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -240,7 +240,7 @@
 	var out []EngineView
 	for _, in := range n.view.Instances() {
 		for _, e := range in.Engines {
-			requests, fresh := n.loads.Get(e.ID, now)
+			requests, fresh := n.loads.Estimate(e.ID, now)
 			out = append(out, EngineView{e.ID, in.ID, in.Hall, in.Pool, n.view.State(in.ID), n.view.Usable(in.ID, now), requests, fresh, e.Slots})
 		}
 	}
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -51,7 +51,7 @@
 	m := n.mean(pt, now)
 	d = route.Choose(q, pt.targets, n.loads, m, tries, now)
 	if s, ok := d.(route.Send); ok {
-		n.loads.Sent(s.Engine)
+		n.loads.RecordSent(s.Engine)
 		return d, pt.daemons[s.Engine], perSlot(m)
 	}
 	return d, to, 0
@@ -61,7 +61,7 @@
 const meanUnknown = -1
 
 func perSlot(m route.Mean) float64 {
-	if !m.Counts() {
+	if !m.Reliable() {
 		return meanUnknown
 	}
 	return m.PerSlot
@@ -83,7 +83,7 @@
 func (n *Node) RequestEnded(engine string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.Ended(engine)
+	n.loads.RecordEnded(engine)
 }
 
 // HomeEngine returns the engine that ranks first for a chat and its daemon, or false if
@@ -166,7 +166,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loads.Observe(loads[0].Engine, loads[0].Requests, n.clk.Now()-loads[0].Age)
+	n.loads.ObserveRefusal(loads[0].Engine, loads[0].Requests, n.clk.Now()-loads[0].Age)
 	n.observeLoads(loads[1:])
 }
 
@@ -174,7 +174,7 @@
 func (n *Node) FreshestLoads() []wire.Load {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.loads.Freshest(route.LoadsOnTheWay, n.clk.Now())
+	return n.loads.Freshest(route.MaxAttachedLoads, n.clk.Now())
 }
 
 func (n *Node) observeLoads(loads []wire.Load) {
--- a/measure/replay/policy.go
+++ b/measure/replay/policy.go
@@ -56,7 +56,7 @@
 	w.prepare(p)
 	targets := targetsOf(p.members(entry))
 	loads := w.loads[entry]
-	q := route.Query{Key: p.key(t), Affine: true, Returning: t.Number > 0, Hint: w.hints[entry][t.Chat], Bound: p.cfg.Bound, Floor: p.cfg.Floor, Max: maxTries}
+	q := route.Query{Key: p.key(t), Affine: true, Returning: t.Number > 0, Hint: w.hints[entry][t.Chat], Bound: p.cfg.Bound, Floor: p.cfg.Floor, MaxTries: maxTries}
 	var tries []route.Try
 	for {
 		mean := loads.Mean(targets, p.now)
@@ -66,26 +66,26 @@
 		}
 		e := p.find(s.Engine)
 		try := route.Try{Engine: s.Engine, Mode: s.Mode}
-		loads.Sent(e.id)
+		loads.RecordSent(e.id)
 		if e.gone {
 			p.views[entry].MarkUnreachable(e.id, p.now)
-			loads.Ended(e.id)
+			loads.RecordEnded(e.id)
 			tries = append(tries, try)
 			continue
 		}
 		perSlot := mean.PerSlot
-		if !mean.Counts() {
+		if !mean.Reliable() {
 			perSlot = -1
 		}
 		ans := route.Decide(
 			route.Offer{Chat: q.Key, Mode: s.Mode},
-			route.State{Engine: e.id, Requests: e.running, Slots: e.slots, Mean: perSlot, Engines: len(targets), Bound: p.cfg.Bound, Floor: p.cfg.Floor, Leaving: e.leaving},
+			route.State{Engine: e.id, Requests: e.running, Slots: e.slots, Mean: perSlot, Engines: len(targets), Bound: p.cfg.Bound, Floor: p.cfg.Floor, Draining: e.leaving},
 			e.book)
 		p.passOn(loads, e.loads, e.id)
 		p.passOn(e.loads, loads, e.id)
 		if _, admitted := ans.(route.Admit); !admitted {
-			loads.Ended(e.id)
-			loads.Observe(e.id, e.running, p.now)
+			loads.RecordEnded(e.id)
+			loads.ObserveRefusal(e.id, e.running, p.now)
 		}
 		switch ans := ans.(type) {
 		case route.Admit:
@@ -104,7 +104,7 @@
 // passOn hands the freshest loads on, as requests and answers do; that of the
 // engine itself comes apart.
 func (p *pool) passOn(from, to *route.Loads, self string) {
-	for _, l := range from.Freshest(route.LoadsOnTheWay, p.now) {
+	for _, l := range from.Freshest(route.MaxAttachedLoads, p.now) {
 		if l.Engine != self {
 			to.Sample(l.Engine, l.Requests, p.now-l.Age)
 		}
@@ -126,13 +126,13 @@
 
 func (w *Weldfall) ran(p *pool, entry int, t trace.Turn, e *eng) {
 	key := p.key(t)
-	e.book.Ran(key, t.Prompt+t.Output, p.now)
+	e.book.RecordTurn(key, t.Prompt+t.Output, p.now)
 	w.hints[entry][t.Chat] = e.id
-	w.loads[entry].Ended(e.id)
+	w.loads[entry].RecordEnded(e.id)
 	w.loads[entry].Sample(e.id, e.running, p.now)
 	targets := targetsOf(p.members(entry))
 	if top := route.Rank(key, targets, 1); len(top) > 0 && targets[top[0]].ID() != e.id {
-		p.find(targets[top[0]].ID()).book.Placed(key, e.id)
+		p.find(targets[top[0]].ID()).book.RecordPlacement(key, e.id)
 	}
 }
 
@@ -150,7 +150,7 @@
 		to := p.find(nextOf(key, targets, old.id))
 		tokens := old.cache.size[chat]
 		to.cache.put(chat, tokens)
-		to.book.Ran(key, tokens, p.now)
+		to.book.RecordTurn(key, tokens, p.now)
 	}
 }
 
--- a/measure/replay/replay.go
+++ b/measure/replay/replay.go
@@ -71,7 +71,7 @@
 	id      string
 	slots   int
 	running int
-	book    *route.Book
+	book    *route.CacheIndex
 	cache   *lru
 	gone    bool
 	leaving bool
@@ -202,7 +202,7 @@
 	if p.cfg.Unequal && p.next%3 == 0 {
 		slots = max(1, slots/2)
 	}
-	e := &eng{id: fmt.Sprint("engine-", p.next), slots: slots, book: route.NewBook(p.cfg.CacheTokens), cache: newLRU(p.cfg.CacheTokens), joined: p.now, loads: route.NewLoads()}
+	e := &eng{id: fmt.Sprint("engine-", p.next), slots: slots, book: route.NewCacheIndex(p.cfg.CacheTokens), cache: newLRU(p.cfg.CacheTokens), joined: p.now, loads: route.NewLoads()}
 	p.next++
 	p.engines = append(p.engines, e)
 	return e
--- a/route/admit.go
+++ b/route/admit.go
@@ -16,18 +16,18 @@
 	Slots    int
 	// Mean is the pool's mean load per slot, below zero if unknown; Engines
 	// is the pool's size.
-	Mean    float64
-	Engines int
-	Bound   float64
-	Floor   int
-	Leaving bool
-	// Owed is true when the requester's partner has less than its share of an
+	Mean     float64
+	Engines  int
+	Bound    float64
+	Floor    int
+	Draining bool
+	// UnderShare is true when the requester's partner has less than its share of an
 	// engine where others wait; their queue is not held against it.
-	Owed bool
+	UnderShare bool
 }
 
-// Answer is what the daemon makes of an offer: Admit, Redirect or Refuse.
-type Answer interface{ answer() }
+// Admission is what the daemon makes of an offer: Admit, Redirect or Refuse.
+type Admission interface{ admission() }
 
 // Admit takes the request.
 type Admit struct{}
@@ -42,31 +42,31 @@
 // Refuse turns the request away, for the load or because the engine leaves,
 // or because it has nothing of the chat.
 type Refuse struct {
-	Leaving   bool
+	Draining  bool
 	NotCached bool
 	OverBound bool
 }
 
-func (Admit) answer()    {}
-func (Redirect) answer() {}
-func (Refuse) answer()   {}
+func (Admit) admission()    {}
+func (Redirect) admission() {}
+func (Refuse) admission()   {}
 
 // Decide answers an offer. The daemon is authoritative: entries act on old
 // views, and this is where a wrong guess is put right.
-func Decide(o Offer, s State, b *Book) Answer {
-	if s.Leaving {
-		return Refuse{Leaving: true}
+func Decide(o Offer, s State, b *CacheIndex) Admission {
+	if s.Draining {
+		return Refuse{Draining: true}
 	}
 	if o.Mode == wire.ModeCachedOnly {
-		cached := b.Cached(o.Chat)
-		if at := b.PlacedAt(o.Chat); at != "" && at != s.Engine {
+		cached := b.CachedTokens(o.Chat)
+		if at := b.Placement(o.Chat); at != "" && at != s.Engine {
 			return Redirect{Engine: at, Cached: cached}
 		}
 		if cached == 0 {
 			return Refuse{NotCached: true}
 		}
 	}
-	if o.Mode != wire.ModeForce && !s.Owed && s.Mean >= 0 && s.Requests+1 > Limit(s.Bound, s.Mean, s.Floor, s.Slots, s.Engines) {
+	if o.Mode != wire.ModeForce && !s.UnderShare && s.Mean >= 0 && s.Requests+1 > Limit(s.Bound, s.Mean, s.Floor, s.Slots, s.Engines) {
 		return Refuse{OverBound: true}
 	}
 	return Admit{}
--- a/route/book.go
+++ b/route/cacheindex.go
@@ -6,11 +6,11 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Book is what a daemon believes of one engine's prefix cache: the chats that
+// CacheIndex is what a daemon believes of one engine's prefix cache: the chats that
 // it holds, least recently used first out, within the engine's memory. It also
 // remembers where chats went that it is the home of. It is not safe for
 // concurrent use.
-type Book struct {
+type CacheIndex struct {
 	// capacity is the engine's cache memory in tokens; the sum of the
 	// entries' tokens never exceeds it while there are two or more.
 	capacity int
@@ -35,9 +35,9 @@
 // maxPlaced bounds the chats away from home that a daemon remembers.
 const maxPlaced = 16384
 
-// NewBook returns a book for a cache of the given capacity in tokens.
-func NewBook(capacity int) *Book {
-	b := &Book{capacity: capacity}
+// NewCacheIndex returns a book for a cache of the given capacity in tokens.
+func NewCacheIndex(capacity int) *CacheIndex {
+	b := &CacheIndex{capacity: capacity}
 	// NewLRU fails only for sizes that are not positive.
 	b.chats, _ = simplelru.NewLRU(maxChats, func(_ uint64, p prefix) { b.tokens -= p.tokens })
 	b.placed, _ = simplelru.NewLRU[uint64, string](maxPlaced, nil)
@@ -45,13 +45,13 @@
 }
 
 // SetCapacity changes the cache memory in tokens, as the engine reports it.
-func (b *Book) SetCapacity(tokens int) {
+func (b *CacheIndex) SetCapacity(tokens int) {
 	b.capacity = tokens
 	b.trim()
 }
 
-// Ran records that chat has a prefix of the given tokens in the cache at now.
-func (b *Book) Ran(chat uint64, tokens int, now clock.Millis) {
+// RecordTurn records that chat has a prefix of the given tokens in the cache at now.
+func (b *CacheIndex) RecordTurn(chat uint64, tokens int, now clock.Millis) {
 	b.chats.Remove(chat)
 	b.chats.Add(chat, prefix{tokens, now})
 	b.tokens += tokens
@@ -59,23 +59,23 @@
 	b.trim()
 }
 
-func (b *Book) trim() {
+func (b *CacheIndex) trim() {
 	for b.tokens > b.capacity && b.chats.Len() > 1 {
 		b.chats.RemoveOldest()
 	}
 }
 
-// Evicted takes the engine's word that chat was no longer cached at the time
+// RecordEvicted takes the engine's word that chat was no longer cached at the time
 // at. Events come late: one from before the chat's latest turn is passed over.
-func (b *Book) Evicted(chat uint64, at clock.Millis) {
+func (b *CacheIndex) RecordEvicted(chat uint64, at clock.Millis) {
 	if p, ok := b.chats.Peek(chat); ok && at >= p.at {
 		b.chats.Remove(chat)
 	}
 }
 
-// Stored takes the engine's word that it kept the given tokens of chat at the time at. What
+// RecordStored takes the engine's word that it kept the given tokens of chat at the time at. What
 // is known of the chat already is as late or later: a turn is recorded when it ends.
-func (b *Book) Stored(chat uint64, tokens int, at clock.Millis) {
+func (b *CacheIndex) RecordStored(chat uint64, tokens int, at clock.Millis) {
 	if _, known := b.chats.Peek(chat); known || tokens <= 0 {
 		return
 	}
@@ -84,26 +84,26 @@
 	b.trim()
 }
 
-// Forget drops all chats that the engine is believed to hold: it has lost its memory.
-func (b *Book) Forget() { b.chats.Purge() }
+// Clear drops all chats that the engine is believed to hold: it has lost its memory.
+func (b *CacheIndex) Clear() { b.chats.Purge() }
 
-// Cached returns the tokens of chat that the engine is believed to hold.
-func (b *Book) Cached(chat uint64) int {
+// CachedTokens returns the tokens of chat that the engine is believed to hold.
+func (b *CacheIndex) CachedTokens(chat uint64) int {
 	p, _ := b.chats.Peek(chat)
 	return p.tokens
 }
 
-// Tokens returns how many tokens the engine is believed to hold in all.
-func (b *Book) Tokens() int { return b.tokens }
+// TotalTokens returns how many tokens the engine is believed to hold in all.
+func (b *CacheIndex) TotalTokens() int { return b.tokens }
 
 // Chats lists the cached chats, least recently used first.
-func (b *Book) Chats() []uint64 { return b.chats.Keys() }
+func (b *CacheIndex) Chats() []uint64 { return b.chats.Keys() }
 
-// Placed records that the latest turn of chat ran at engine.
-func (b *Book) Placed(chat uint64, engine string) { b.placed.Add(chat, engine) }
+// RecordPlacement records that the latest turn of chat ran at engine.
+func (b *CacheIndex) RecordPlacement(chat uint64, engine string) { b.placed.Add(chat, engine) }
 
-// PlacedAt returns where the latest turn of chat ran, "" if unknown.
-func (b *Book) PlacedAt(chat uint64) string {
+// Placement returns where the latest turn of chat ran, "" if unknown.
+func (b *CacheIndex) Placement(chat uint64) string {
 	engine, _ := b.placed.Peek(chat)
 	return engine
 }
--- a/route/choose.go
+++ b/route/choose.go
@@ -7,11 +7,11 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// Depth is how many ranked engines are asked whether they hold a chat.
-const Depth = 3
+// CacheProbes is how many ranked engines are asked whether they hold a chat.
+const CacheProbes = 3
 
-// Choices is how many ranked engines a new chat is placed among.
-const Choices = 4
+// PlacementChoices is how many ranked engines a new chat is placed among.
+const PlacementChoices = 4
 
 // sampleSize is how many further engines a spill compares.
 const sampleSize = 4
@@ -32,8 +32,8 @@
 	// Bound and Floor are the pool's settings.
 	Bound float64
 	Floor int
-	// Max is the most engines to try.
-	Max int
+	// MaxTries is the most engines to try.
+	MaxTries int
 }
 
 // Try is one attempt that ended without the request being taken.
@@ -80,13 +80,13 @@
 	if len(targets) == 0 {
 		return Shed{Empty: true}
 	}
-	if len(tries) >= q.Max {
+	if len(tries) >= q.MaxTries {
 		return Shed{}
 	}
 	c := chooser{q: q, targets: targets, loads: loads, mean: mean, tries: tries, now: now}
-	c.ranked = Rank(q.Key, targets, Choices)
+	c.ranked = Rank(q.Key, targets, PlacementChoices)
 	steps := []func() (Send, bool){c.byHint, c.byRedirect, c.byCache, c.byPart, c.byLeast, c.bySample, c.force}
-	if len(tries) > 0 && len(tries) == q.Max-1 {
+	if len(tries) > 0 && len(tries) == q.MaxTries-1 {
 		steps = []func() (Send, bool){c.force, c.byLeast, c.bySample}
 	}
 	for _, step := range steps {
@@ -127,8 +127,8 @@
 // overBound reports whether engine is believed to carry more than it may.
 // Without a mean that counts nothing is believed.
 func (c *chooser) overBound(t Target) bool {
-	requests, fresh := c.loads.Get(t.id, c.now)
-	if !fresh || !c.mean.Counts() {
+	requests, fresh := c.loads.Estimate(t.id, c.now)
+	if !fresh || !c.mean.Reliable() {
 		return false
 	}
 	return requests+1 > Limit(c.q.Bound, c.mean.PerSlot, c.q.Floor, t.slots, len(c.targets))
@@ -173,7 +173,7 @@
 	switch {
 	case !c.q.Affine:
 	case c.q.Returning:
-		depth = Depth
+		depth = CacheProbes
 	case c.q.Named:
 		depth = 1
 	}
@@ -227,7 +227,7 @@
 		if c.tried(t.id, false) || withinBound && c.overBound(t) {
 			continue
 		}
-		requests, _ := c.loads.Get(t.id, c.now)
+		requests, _ := c.loads.Estimate(t.id, c.now)
 		if load := float64(requests) / float64(t.slots); best == "" || load < bestLoad {
 			best, bestLoad = t.id, load
 		}
@@ -245,7 +245,7 @@
 		if !ok || !t.OverBound || c.forced(t.Engine) {
 			continue
 		}
-		requests, _ := c.loads.Get(t.Engine, c.now)
+		requests, _ := c.loads.Estimate(t.Engine, c.now)
 		load := float64(requests) / float64(target.slots)
 		if best == "" || load < bestLoad {
 			best, bestLoad = t.Engine, load
--- a/route/load.go
+++ b/route/load.go
@@ -11,24 +11,24 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// Report is the latest known load of an engine.
-type Report struct {
+// LoadReport is the latest known load of an engine.
+type LoadReport struct {
 	// Requests is the number running or waiting, as reported.
 	Requests int
-	// Own is the number this process sent that the report does not include.
-	Own int
-	// At is when the report was true, as near as is known.
-	At clock.Millis
-	// Sampled, SampledOwn and SampledAt are the same without the loads that
+	// Unreported is the number this process sent that the report does not include.
+	Unreported int
+	// ValidAt is when the report was true, as near as is known.
+	ValidAt clock.Millis
+	// Sampled, SampledUnreported and SampledAt are the same without the loads that
 	// came with a refusal. Those are high, so a mean over them is too high.
-	Sampled, SampledOwn int
-	SampledAt           clock.Millis
+	Sampled, SampledUnreported int
+	SampledAt                  clock.Millis
 }
 
 // Loads is what one process knows of the loads of a pool. It is not safe for
 // concurrent use.
 type Loads struct {
-	reports map[string]Report
+	reports map[string]LoadReport
 	// stale is the age at which a report no longer counts.
 	stale clock.Millis
 }
@@ -40,43 +40,43 @@
 
 // NewLoads returns an empty table.
 func NewLoads() *Loads {
-	return &Loads{reports: map[string]Report{}, stale: StaleAfter}
+	return &Loads{reports: map[string]LoadReport{}, stale: StaleAfter}
 }
 
-// Observe takes a load that came with a refusal; older ones than the known one
+// ObserveRefusal takes a load that came with a refusal; older ones than the known one
 // are dropped.
-func (l *Loads) Observe(engine string, requests int, at clock.Millis) {
+func (l *Loads) ObserveRefusal(engine string, requests int, at clock.Millis) {
 	r, ok := l.reports[engine]
-	if ok && at < r.At {
+	if ok && at < r.ValidAt {
 		return
 	}
-	r.Requests, r.Own, r.At = requests, 0, max(1, at)
+	r.Requests, r.Unreported, r.ValidAt = requests, 0, max(1, at)
 	l.reports[engine] = r
 }
 
 // Sample takes a load that came with an answer or at a time of its own.
 func (l *Loads) Sample(engine string, requests int, at clock.Millis) {
-	l.Observe(engine, requests, at)
+	l.ObserveRefusal(engine, requests, at)
 	r := l.reports[engine]
 	if at >= r.SampledAt {
-		r.Sampled, r.SampledOwn, r.SampledAt = requests, 0, max(1, at)
+		r.Sampled, r.SampledUnreported, r.SampledAt = requests, 0, max(1, at)
 		l.reports[engine] = r
 	}
 }
 
-// Sent counts a request that this process just sent to engine.
-func (l *Loads) Sent(engine string) {
+// RecordSent counts a request that this process just sent to engine.
+func (l *Loads) RecordSent(engine string) {
 	r := l.reports[engine]
-	r.Own++
-	r.SampledOwn++
+	r.Unreported++
+	r.SampledUnreported++
 	l.reports[engine] = r
 }
 
-// Ended takes back one request that this process sent to engine.
-func (l *Loads) Ended(engine string) {
+// RecordEnded takes back one request that this process sent to engine.
+func (l *Loads) RecordEnded(engine string) {
 	r := l.reports[engine]
-	takeBack(&r.Own, &r.Requests)
-	takeBack(&r.SampledOwn, &r.Sampled)
+	takeBack(&r.Unreported, &r.Requests)
+	takeBack(&r.SampledUnreported, &r.Sampled)
 	l.reports[engine] = r
 }
 
@@ -88,22 +88,22 @@
 	}
 }
 
-// Get returns the estimated requests at engine and whether it is based on a
+// Estimate returns the estimated requests at engine and whether it is based on a
 // report that still counts.
-func (l *Loads) Get(engine string, now clock.Millis) (requests int, fresh bool) {
+func (l *Loads) Estimate(engine string, now clock.Millis) (requests int, fresh bool) {
 	r, ok := l.reports[engine]
-	if !ok || r.At == 0 {
-		return r.Own, false
+	if !ok || r.ValidAt == 0 {
+		return r.Unreported, false
 	}
-	if now-r.At > l.stale {
-		return r.Own, false
+	if now-r.ValidAt > l.stale {
+		return r.Unreported, false
 	}
-	return r.Requests + r.Own, true
+	return r.Requests + r.Unreported, true
 }
 
-// LoadsOnTheWay is how many loads of other engines go with each request and
+// MaxAttachedLoads is how many loads of other engines go with each request and
 // each answer, so that entries hear of each other's traffic through daemons.
-const LoadsOnTheWay = 4
+const MaxAttachedLoads = 4
 
 // Freshest returns up to n reports that still count, youngest first, for
 // handing on to a peer. What this process sent is not in them.
@@ -122,8 +122,8 @@
 	return out[:min(n, len(out))]
 }
 
-// Forget drops engines that keep does not want.
-func (l *Loads) Forget(keep func(engine string) bool) {
+// Retain drops engines that keep does not want.
+func (l *Loads) Retain(keep func(engine string) bool) {
 	for e := range l.reports {
 		if !keep(e) {
 			delete(l.reports, e)
@@ -135,22 +135,22 @@
 type Mean struct {
 	// PerSlot is requests per slot.
 	PerSlot float64
-	// Known is the share of targets with a report that still counts.
-	Known float64
+	// KnownShare is the share of targets with a report that still counts.
+	KnownShare float64
 }
 
 // enoughKnown is the share of a pool that must be known for its mean to count.
 const enoughKnown = 0.5
 
-// Counts reports whether the mean is based on enough of the pool.
-func (m Mean) Counts() bool { return m.Known >= enoughKnown }
+// Reliable reports whether the mean is based on enough of the pool.
+func (m Mean) Reliable() bool { return m.KnownShare >= enoughKnown }
 
 // Mean estimates the load of the pool of the targets.
 func (l *Loads) Mean(targets []Target, now clock.Millis) Mean {
 	requests, slots, n := 0, 0, 0
 	for _, t := range targets {
 		if r, ok := l.reports[t.id]; ok && r.SampledAt > 0 && now-r.SampledAt <= l.stale {
-			requests += r.Sampled + r.SampledOwn
+			requests += r.Sampled + r.SampledUnreported
 			slots += t.slots
 			n++
 		}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -91,7 +91,7 @@
 }
 
 func query(returning bool) route.Query {
-	return route.Query{Key: 42, Affine: true, Returning: returning, Bound: 1.25, Floor: 2, Max: 8}
+	return route.Query{Key: 42, Affine: true, Returning: returning, Bound: 1.25, Floor: 2, MaxTries: 8}
 }
 
 func sample(l *route.Loads, ts []route.Target, requests int) {
@@ -174,9 +174,9 @@
 	ts, loads := targets(12), route.NewLoads()
 	q := query(true)
 	first := route.Choose(q, ts, loads, loads.Mean(ts, 1), nil, 1).(route.Send)
-	book := route.NewBook(1000)
-	book.Ran(q.Key, 50, 1)
-	book.Placed(q.Key, "engine-9")
+	book := route.NewCacheIndex(1000)
+	book.RecordTurn(q.Key, 50, 1)
+	book.RecordPlacement(q.Key, "engine-9")
 	ans := route.Decide(route.Offer{Chat: q.Key, Mode: first.Mode}, route.State{Engine: first.Engine, Slots: 16, Mean: -1, Engines: 12, Bound: 1.25, Floor: 2}, book)
 	r, ok := ans.(route.Redirect)
 	if !ok || r.Engine != "engine-9" || r.Cached != 50 {
@@ -189,8 +189,8 @@
 }
 
 func TestADaemonHoldsTheBoundWhateverAnEntryBelieves(t *testing.T) {
-	book := route.NewBook(1000)
-	book.Ran(1, 10, 1)
+	book := route.NewCacheIndex(1000)
+	book.RecordTurn(1, 10, 1)
 	s := route.State{Engine: "e", Slots: 16, Mean: 0.25, Engines: 12, Bound: 1.25, Floor: 2}
 	limit := route.Limit(1.25, 0.25, 2, 16, 12)
 	for _, mode := range []wire.Mode{wire.ModeNormal, wire.ModeCachedOnly} {
@@ -203,31 +203,31 @@
 			t.Errorf("%s at the limit: got %+v, want a refusal for the load", mode, ans)
 		}
 	}
-	s.Owed = true
+	s.UnderShare = true
 	if _, ok := route.Decide(route.Offer{Chat: 1, Mode: wire.ModeNormal}, s, book).(route.Admit); !ok {
 		t.Error("owed a slot: got a refusal, want the others' queue not held against it")
 	}
-	s.Leaving, s.Requests = true, 0
-	if ans, ok := route.Decide(route.Offer{Mode: wire.ModeForce}, s, book).(route.Refuse); !ok || !ans.Leaving {
+	s.Draining, s.Requests = true, 0
+	if ans, ok := route.Decide(route.Offer{Mode: wire.ModeForce}, s, book).(route.Refuse); !ok || !ans.Draining {
 		t.Errorf("leaving: got %+v, want a refusal", ans)
 	}
 }
 
 func TestLateEvictionsDoNotUndoALaterTurn(t *testing.T) {
-	b := route.NewBook(100)
-	b.Ran(1, 40, 1000)
-	b.Evicted(1, 900)
-	if got, want := b.Cached(1), 40; got != want {
+	b := route.NewCacheIndex(100)
+	b.RecordTurn(1, 40, 1000)
+	b.RecordEvicted(1, 900)
+	if got, want := b.CachedTokens(1), 40; got != want {
 		t.Errorf("an event from before: got %d, want %d", got, want)
 	}
-	b.Evicted(1, 1100)
-	if got := b.Cached(1); got != 0 {
+	b.RecordEvicted(1, 1100)
+	if got := b.CachedTokens(1); got != 0 {
 		t.Errorf("an event from after: got %d, want 0", got)
 	}
-	b.Ran(1, 60, 1)
-	b.Ran(2, 60, 2)
-	if b.Cached(1) != 0 || b.Cached(2) != 60 {
-		t.Errorf("over the memory: got %d and %d, want the older gone", b.Cached(1), b.Cached(2))
+	b.RecordTurn(1, 60, 1)
+	b.RecordTurn(2, 60, 2)
+	if b.CachedTokens(1) != 0 || b.CachedTokens(2) != 60 {
+		t.Errorf("over the memory: got %d and %d, want the older gone", b.CachedTokens(1), b.CachedTokens(2))
 	}
 }
 
@@ -246,7 +246,7 @@
 		q := query(rapid.Bool().Draw(t, "returning"))
 		q.Affine = rapid.Bool().Draw(t, "affine")
 		q.Hint = rapid.SampledFrom([]string{"", "engine-1", "unknown"}).Draw(t, "hint")
-		q.Max = rapid.IntRange(1, 8).Draw(t, "max")
+		q.MaxTries = rapid.IntRange(1, 8).Draw(t, "max")
 		var tries []route.Try
 		offered := map[string]int{}
 		for {
@@ -267,8 +267,8 @@
 				try.Redirect = rapid.SampledFrom([]string{"", "engine-0", "gone"}).Draw(t, "redirect")
 			}
 			tries = append(tries, try)
-			if len(tries) > q.Max {
-				t.Fatalf("got %d offers, want at most %d", len(tries), q.Max)
+			if len(tries) > q.MaxTries {
+				t.Fatalf("got %d offers, want at most %d", len(tries), q.MaxTries)
 			}
 		}
 		if len(ts) > 0 && len(tries) == 0 {
@@ -332,10 +332,10 @@
 
 func TestAChatInTheBookCostsLittle(t *testing.T) {
 	cost := func(n int) float64 {
-		return heaptest.BytesEach(n, func() *route.Book {
-			b := route.NewBook(1 << 40)
+		return heaptest.BytesEach(n, func() *route.CacheIndex {
+			b := route.NewCacheIndex(1 << 40)
 			for i := range uint64(n) {
-				b.Ran(i+1, 1000, 1)
+				b.RecordTurn(i+1, 1000, 1)
 			}
 			return b
 		})
