--- a/fleet/member/member_test.go
+++ b/fleet/member/member_test.go
@@ -30,7 +30,7 @@
 	leaving.State = member.Leaving
 	v.SetListed(leaving, 2)
 	if !v.MarkLeaving("c") || v.MarkLeaving("c") {
-		t.Error("got wrong news of c leaving, want it once")
+		t.Error("got c marked as leaving not exactly once")
 	}
 	if got, want := ids(v.Candidates("drafting", 3)), "a "; got != want {
 		t.Errorf("got %q, want %q", got, want)
@@ -80,7 +80,7 @@
 	}
 	v.MarkReached("a")
 	if !v.Usable("a", 103) {
-		t.Error("got a unusable after it was reached")
+		t.Error("got a not usable after it was reached")
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 	v.SetListed(instance("a"), 0)
 	if v.MajorityReachable() {
-		t.Error("before any contact: got a majority")
+		t.Error("before any exchange: got a majority")
 	}
 	for range 16 {
 		v.RecordExchange(true)
--- a/fleet/once/bench_test.go
+++ b/fleet/once/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// fillWitness makes a witness remember n keys and returns its bytes a key.
+// fillWitness fills a witness with n keys and returns the bytes that it needs for each.
 func fillWitness(n int) float64 {
 	return heaptest.BytesEach(n, func() *once.Witness {
 		w := once.NewWitness(0, 1_000_000, n)
--- a/fleet/once/once_test.go
+++ b/fleet/once/once_test.go
@@ -13,13 +13,13 @@
 
 func TestTwoQuorumsShareAWitness(t *testing.T) {
 	for n := 1; n <= 12; n++ {
-		need, changes := once.Quorum(n), once.ToleratedChanges(n)
-		if 2*need <= n+changes {
-			t.Errorf("n %d: got need %d tolerating %d, want sets that meet", n, need, changes)
+		quorum, changes := once.Quorum(n), once.ToleratedChanges(n)
+		if 2*quorum <= n+changes {
+			t.Errorf("n %d: got quorum %d tolerating %d changes, want quorums that share a witness", n, quorum, changes)
 		}
 	}
 	if got, want := once.Quorum(once.Witnesses), 5; got != want {
-		t.Errorf("need: got %d, want %d", got, want)
+		t.Errorf("quorum: got %d, want %d", got, want)
 	}
 }
 
@@ -40,7 +40,7 @@
 	w := once.NewWitness(0, 1_000_000, 100)
 	c := wire.Claim{Key: 1, Attempt: 7, Window: 60_000}
 	if g := w.Claim(c, 100_000, 1_100_000); !g.Granted || g.StartedLate {
-		t.Errorf("first: got %+v, want granted by an old witness", g)
+		t.Errorf("first: got %+v, want it granted and not started late", g)
 	}
 	other := wire.Claim{Key: 1, Attempt: 8, Window: 60_000}
 	if g := w.Claim(other, 165_000, 1_165_000); g.Granted || g.Holder != 7 {
@@ -52,7 +52,7 @@
 	}
 	w.Release(2, 8)
 	if got, want := w.Len(), 1; got != want {
-		t.Errorf("release by another: got %d keys, want %d", got, want)
+		t.Errorf("release by another attempt: got %d keys, want %d", got, want)
 	}
 	w.Release(2, 9)
 	if got, want := w.Len(), 0; got != want {
@@ -63,10 +63,10 @@
 func TestAWitnessReportsALateStart(t *testing.T) {
 	w := once.NewWitness(0, 1_000_000, 100)
 	if g := w.Claim(wire.Claim{Key: 1, Attempt: 1, Window: 60_000}, 30_000, 1_030_000); !g.StartedLate {
-		t.Errorf("untimed key: got %+v, want young", g)
+		t.Errorf("key without a time: got %+v, want started late", g)
 	}
 	if g := w.Claim(wire.Claim{Key: 2, Attempt: 1, Window: 60_000, CreatedAt: 1_020_000}, 30_000, 1_030_000); g.StartedLate {
-		t.Errorf("key born after the start: got %+v, want not young", g)
+		t.Errorf("key created after the start: got %+v, want not started late", g)
 	}
 	if g := w.Claim(wire.Claim{Key: 3, Attempt: 1, Window: 60_000, CreatedAt: 900_000}, 30_000, 1_030_000); g.Granted {
 		t.Errorf("key older than the window: got %+v, want no promise", g)
@@ -81,33 +81,33 @@
 	}
 }
 
-// fleet is the witnesses of the property test. Instances are replaced, links
-// are cut, entries see old lists; messages are lost, come late and twice.
-type fleet struct {
+// simFleet simulates the witnesses of the property test. Instances are replaced, links
+// are cut and entries use old lists. Messages are lost, delayed and duplicated.
+type simFleet struct {
 	now       clock.Millis
 	witnesses map[string]*once.Witness
-	// lists has the list after each change; an entry may use any of the last
-	// few, as far back as the protocol tolerates.
-	lists [][]string
-	gone  map[string]clock.Millis
-	born  map[string]clock.Millis
-	next  int
+	// lists holds the list after each change. An entry may use any of the last few, as
+	// far back as the protocol tolerates.
+	lists    [][]string
+	gone     map[string]clock.Millis
+	joinedAt map[string]clock.Millis
+	next     int
 }
 
 const window clock.Millis = 60_000
 
-func (f *fleet) join() string {
+func (f *simFleet) join() string {
 	id := fmt.Sprint("daemon-", f.next)
 	f.next++
 	f.witnesses[id] = once.NewWitness(f.now, 1_000_000+f.now, 1000)
-	f.born[id] = f.now
+	f.joinedAt[id] = f.now
 	return id
 }
 
-func (f *fleet) list() []string { return f.lists[len(f.lists)-1] }
+func (f *simFleet) list() []string { return f.lists[len(f.lists)-1] }
 
-// replace takes one daemon out and brings a new one in.
-func (f *fleet) replace(i int) {
+// replace removes one daemon and adds a new one.
+func (f *simFleet) replace(i int) {
 	l := append([]string(nil), f.list()...)
 	f.gone[l[i]] = f.now
 	delete(f.witnesses, l[i])
@@ -115,14 +115,14 @@
 	f.lists = append(f.lists, l)
 }
 
-// restart loses a daemon's memory; its id stays.
-func (f *fleet) restart(i int) {
+// restart clears a daemon's memory. It keeps its ID.
+func (f *simFleet) restart(i int) {
 	id := f.list()[i]
 	f.witnesses[id] = once.NewWitness(f.now, 1_000_000+f.now, 1000)
 }
 
-// view is what an entry with the given list believes.
-func (f *fleet) view(list []string) []once.Daemon {
+// view returns the daemons that an entry with the given list knows.
+func (f *simFleet) view(list []string) []once.Daemon {
 	var out []once.Daemon
 	listed := map[string]bool{}
 	for _, id := range list {
@@ -130,15 +130,15 @@
 		listed[id] = true
 	}
 	for id, at := range f.gone {
-		if !listed[id] && f.now-at < window && f.seenBy(list, id) {
+		if !listed[id] && f.now-at < window && f.leftBefore(list, id) {
 			out = append(out, once.Daemon{ID: id, Gone: true})
 		}
 	}
 	return out
 }
 
-// seenBy reports whether a daemon left before the list was made.
-func (f *fleet) seenBy(list []string, id string) bool {
+// leftBefore reports whether a daemon left before the list was made.
+func (f *simFleet) leftBefore(list []string, id string) bool {
 	before := false
 	for _, l := range f.lists {
 		for _, x := range l {
@@ -151,11 +151,11 @@
 	return false
 }
 
-// TestARequestRunsAtMostOnce is the property test of the claim protocol: a
-// key runs under at most one attempt, whatever the schedule.
+// TestARequestRunsAtMostOnce is the property test of the claim protocol: a key runs under
+// at most one attempt, whatever the schedule.
 func TestARequestRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{witnesses: map[string]*once.Witness{}, gone: map[string]clock.Millis{}, born: map[string]clock.Millis{}}
+		f := &simFleet{witnesses: map[string]*once.Witness{}, gone: map[string]clock.Millis{}, joinedAt: map[string]clock.Millis{}}
 		var first []string
 		for range rapid.IntRange(1, 12).Draw(t, "daemons") {
 			first = append(first, f.join())
@@ -164,13 +164,14 @@
 		f.now = 2 * window
 		key := rapid.Uint64Min(1).Draw(t, "key")
 		timed := rapid.Bool().Draw(t, "timed")
-		born := clock.Millis(0)
+		createdAt := clock.Millis(0)
 		if timed {
-			born = 1_000_000 + f.now
+			createdAt = 1_000_000 + f.now
 		}
 		ran := map[uint64]bool{}
-		// late are grants asked for by attempts that have not finished.
-		var late []func()
+		// delayed holds the runs of attempts that were paused between the grants and the
+		// run.
+		var delayed []func()
 		for attempt := uint64(1); attempt <= uint64(rapid.IntRange(2, 6).Draw(t, "attempts")); attempt++ {
 			for range rapid.IntRange(0, 3).Draw(t, "changes") {
 				i := rapid.IntRange(0, len(f.list())-1).Draw(t, "which")
@@ -185,15 +186,15 @@
 			if old := rapid.IntRange(0, min(once.MaxChanges, len(f.lists)-1)).Draw(t, "stale"); old > 0 {
 				list = f.lists[len(f.lists)-1-old]
 			}
-			f.attempt(t, key, attempt, born, list, ran, &late)
+			f.attempt(t, key, attempt, createdAt, list, ran, &delayed)
 			f.now += rapid.SampledFrom([]clock.Millis{1, 100, 3000}).Draw(t, "between")
-			if len(late) > 0 && rapid.Bool().Draw(t, "wake") {
-				late[0]()
-				late = late[1:]
+			if len(delayed) > 0 && rapid.Bool().Draw(t, "wake") {
+				delayed[0]()
+				delayed = delayed[1:]
 			}
 		}
-		for _, l := range late {
-			l()
+		for _, run := range delayed {
+			run()
 		}
 		if len(ran) > 1 {
 			t.Fatalf("got runs by attempts %v, want at most one", ran)
@@ -201,14 +202,13 @@
 	})
 }
 
-// attempt claims the key with a list that may be old. The claim may reach
-// fewer witnesses than asked, and the attempt may stand still between the
-// promises and the run.
-func (f *fleet) attempt(t *rapid.T, key, attempt uint64, born clock.Millis, list []string, ran map[uint64]bool, late *[]func()) {
+// attempt claims the key with a list that may be old. The claim may reach fewer witnesses
+// than intended, and the attempt may be paused between the grants and the run.
+func (f *simFleet) attempt(t *rapid.T, key, attempt uint64, createdAt clock.Millis, list []string, ran map[uint64]bool, delayed *[]func()) {
 	daemons := f.view(list)
 	ws, gone := once.Choose(key, daemons)
 	tally := once.NewTally(len(ws), gone)
-	msg := wire.Claim{Key: key, Attempt: attempt, CreatedAt: born, Window: window}
+	msg := wire.Claim{Key: key, Attempt: attempt, CreatedAt: createdAt, Window: window}
 	for _, w := range ws {
 		witness := f.witnesses[w.ID]
 		if witness == nil || rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
@@ -231,7 +231,7 @@
 	}
 	run := func() { ran[attempt] = true }
 	if rapid.IntRange(0, 3).Draw(t, "frozen") == 0 {
-		*late = append(*late, run)
+		*delayed = append(*delayed, run)
 		return
 	}
 	run()
--- a/fleet/silent_test.go
+++ b/fleet/silent_test.go
@@ -22,13 +22,13 @@
 // inForceWithin is how long a change of the settings may take to be in force everywhere.
 const inForceWithin = 4 * time.Second
 
-// service is a settings service that can fall silent.
+// service is a settings service that can become silent.
 type service struct {
 	http.Handler
 	mu sync.Mutex
-	// silent is true while calls that come get no answer, for as long as they wait.
+	// silent is true while new calls get no response for as long as they wait.
 	silent bool
-	// cut is closed to end the calls that wait, their connections with them.
+	// cut is closed to end the waiting calls and their connections.
 	cut chan struct{}
 }
 
@@ -40,14 +40,14 @@
 		<-r.Context().Done()
 		return
 	}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	rec := httptest.NewRecorder()
 	go func() {
-		defer close(over)
+		defer close(done)
 		s.Handler.ServeHTTP(rec, r)
 	}()
 	select {
-	case <-over:
+	case <-done:
 		w.WriteHeader(rec.Code)
 		_, _ = w.Write(rec.Body.Bytes())
 	case <-cut:
@@ -66,7 +66,7 @@
 }
 
 // newNode starts a node that reads a settings service over a link, and waits until it has
-// read both topics.
+// the given revision.
 func newNode(t *testing.T, clk *clock.Clock, h http.Handler, revision int64) (*fleet.Node, *linktest.Link) {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -96,24 +96,24 @@
 	}
 }
 
-// Guards against a read that waits at a settings service which fell silent, of which nobody
-// hears until the wait of the read is over.
+// Guards against a long poll that waits at a service which became silent, so that no
+// change is noticed until the wait is over.
 func TestAChangeTakesEffectInTimeAfterTheServiceWasSilent(t *testing.T) {
 	t.Parallel()
-	for _, away := range []time.Duration{300, 700, 1250, 3000} {
-		t.Run(fmt.Sprintf("for %d ms", away), func(t *testing.T) {
+	for _, silence := range []time.Duration{300, 700, 1250, 3000} {
+		t.Run(fmt.Sprintf("for %d ms", silence), func(t *testing.T) {
 			t.Parallel()
 			clk := clock.System()
 			p := platform.New(platform.Config{Clock: clk})
 			s := &service{Handler: p, cut: make(chan struct{})}
 			n, _ := newNode(t, clk, s, p.Put("config", "root", "{}"))
 			s.setSilent(true)
-			time.Sleep(away * time.Millisecond)
+			time.Sleep(silence * time.Millisecond)
 			s.setSilent(false)
 			await(t, n, p.Put("config", "root", "{ }"), inForceWithin)
 		})
 	}
-	t.Run("on open connections for good", func(t *testing.T) {
+	t.Run("on open connections permanently", func(t *testing.T) {
 		t.Parallel()
 		clk := clock.System()
 		p := platform.New(platform.Config{Clock: clk})
--- a/fleet/source/client_test.go
+++ b/fleet/source/client_test.go
@@ -20,7 +20,7 @@
 	"github.com/weldfall/weldfall/internal/linktest"
 )
 
-// A batch may take longer than a silent service is waited for, as long as it comes.
+// A batch may take longer than the response timeout as long as data keeps arriving.
 func TestABatchMayTakeLongerThanTheResponseTimeout(t *testing.T) {
 	t.Parallel()
 	const size = 600_000
@@ -72,7 +72,8 @@
 	}
 }
 
-// A batch that ends with its connection is not taken for a shorter one.
+// A batch that is truncated by the end of its connection must not be taken for a shorter
+// one.
 func TestATruncatedBatchIsAnError(t *testing.T) {
 	const batch = `{"rev":2,"items":[{"key":"a","rev":1,"value":"1"},{"key":"b","rev":2,"value":"2"}]}`
 	for n := range len(batch) {
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -20,8 +20,8 @@
 func TestOlderItemsNeverReplaceNewer(t *testing.T) {
 	s := spread.NewStore(wire.Topics, 1000)
 	s.Add([]wire.Item{item("a", 5, 0, "new")})
-	if news := s.Add([]wire.Item{item("a", 4, 0, "old"), item("a", 5, 0, "same")}); len(news) != 0 {
-		t.Errorf("got news %v, want none", news)
+	if added := s.Add([]wire.Item{item("a", 4, 0, "old"), item("a", 5, 0, "same")}); len(added) != 0 {
+		t.Errorf("got new items %v, want none", added)
 	}
 	if it, _ := s.Get(wire.TopicCore, "a"); it.Value != "new" {
 		t.Errorf("got %q, want new", it.Value)
@@ -37,9 +37,9 @@
 	if got, want := late.Upto(wire.TopicCore), int64(1); got != want {
 		t.Errorf("with a gap: got complete to %d, want %d", got, want)
 	}
-	news := late.ApplyAnswer(reader.Answer(late.NewExchange("late", 0), 0), 0)
-	if len(news) != 1 || news[0].Key != "b" || late.Upto(wire.TopicCore) != 3 {
-		t.Errorf("got %v complete to %d, want b and 3", news, late.Upto(wire.TopicCore))
+	added := late.ApplyAnswer(reader.Answer(late.NewExchange("late", 0), 0), 0)
+	if len(added) != 1 || added[0].Key != "b" || late.Upto(wire.TopicCore) != 3 {
+		t.Errorf("got %v complete to %d, want b and 3", added, late.Upto(wire.TopicCore))
 	}
 }
 
@@ -48,22 +48,22 @@
 	a.Add([]wire.Item{item("p", 1, 0, "good")})
 	a.Add([]wire.Item{item("p", 2, 1, "bad")})
 	a.MarkInvalid(wire.TopicCore, "p", "good", 1)
-	news := b.ApplyAnswer(a.Answer(b.NewExchange("b", 0), 0), 0)
-	if len(news) != 1 || news[0].LastGood != "good" || news[0].LastGoodRev != 1 {
-		t.Errorf("got %+v, want the last good value too", news)
+	added := b.ApplyAnswer(a.Answer(b.NewExchange("b", 0), 0), 0)
+	if len(added) != 1 || added[0].LastGood != "good" || added[0].LastGoodRev != 1 {
+		t.Errorf("got %+v, want the last valid value too", added)
 	}
-	// c started after the bad value and read it from the platform.
+	// c started after the invalid value and read it from the platform.
 	c := spread.NewStore(wire.Topics, 1000)
 	c.Add([]wire.Item{item("p", 2, 0, "bad")})
 	c.MarkInvalid(wire.TopicCore, "p", "", 0)
 	c.MarkComplete(wire.TopicCore, 2)
-	if news := c.ApplyAnswer(a.Answer(c.NewExchange("c", 0), 0), 0); len(news) != 1 || news[0].LastGoodRev != 1 {
-		t.Errorf("got %+v, want the newer good value", news)
+	if added := c.ApplyAnswer(a.Answer(c.NewExchange("c", 0), 0), 0); len(added) != 1 || added[0].LastGoodRev != 1 {
+		t.Errorf("got %+v, want the newer valid value", added)
 	}
 }
 
-// TestStoresConverge drives random changes, losses and exchanges: revisions
-// never go back, and after enough exchanges all are the same.
+// TestStoresConverge runs random changes, losses and exchanges. Revisions never decrease,
+// and after enough exchanges all stores are equal.
 func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "members")
@@ -128,9 +128,9 @@
 	})
 }
 
-// swarm is many stores that exchange in rounds, as the processes do once a
-// second, and push news to three random others.
-type swarm struct {
+// cluster is a set of stores that exchange in rounds, as the processes do once a second,
+// and push new items to three random others.
+type cluster struct {
 	stores []*spread.Store
 	rnd    *rand.Rand
 	// bytes counts what each member sent and received.
@@ -139,15 +139,15 @@
 
 const fanout = 3
 
-func newSwarm(n int) *swarm {
-	s := &swarm{rnd: rand.New(rand.NewPCG(1, 2)), bytes: make([]int, n)}
+func newCluster(n int) *cluster {
+	s := &cluster{rnd: rand.New(rand.NewPCG(1, 2)), bytes: make([]int, n)}
 	for range n {
 		s.stores = append(s.stores, spread.NewStore([]wire.Topic{wire.TopicCore, wire.TopicInstances}, spread.DefaultChunkBytes))
 	}
 	return s
 }
 
-func (s *swarm) count(a, b int, msg any) {
+func (s *cluster) countBytes(a, b int, msg any) {
 	data, err := json.Marshal(msg)
 	if err != nil {
 		panic(err)
@@ -156,40 +156,40 @@
 	s.bytes[b] += len(data)
 }
 
-// push hands news on until nobody has any.
-func (s *swarm) push(from int, news []wire.Item, lost float64) {
-	type hop struct {
-		from int
-		news []wire.Item
+// push forwards new items until none are left.
+func (s *cluster) push(from int, added []wire.Item, lost float64) {
+	type pushStep struct {
+		from  int
+		added []wire.Item
 	}
-	for queue := []hop{{from, news}}; len(queue) > 0; queue = queue[1:] {
+	for queue := []pushStep{{from, added}}; len(queue) > 0; queue = queue[1:] {
 		for range fanout {
 			to := s.rnd.IntN(len(s.stores))
-			if len(queue[0].news) == 0 || s.rnd.Float64() < lost {
+			if len(queue[0].added) == 0 || s.rnd.Float64() < lost {
 				continue
 			}
-			s.count(queue[0].from, to, wire.Push{From: "instance-0000", Items: queue[0].news})
-			if got := s.stores[to].Add(queue[0].news); len(got) > 0 {
-				queue = append(queue, hop{to, got})
+			s.countBytes(queue[0].from, to, wire.Push{From: "instance-0000", Items: queue[0].added})
+			if got := s.stores[to].Add(queue[0].added); len(got) > 0 {
+				queue = append(queue, pushStep{to, got})
 			}
 		}
 	}
 }
 
-// round lets every member exchange once with a random other.
-func (s *swarm) round(now clock.Millis) {
+// round lets each member exchange once with a random other.
+func (s *cluster) round(now clock.Millis) {
 	for i := range s.stores {
 		j := s.rnd.IntN(len(s.stores))
-		ask := s.stores[i].NewExchange("instance-0000", now)
-		answer := s.stores[j].Answer(ask, now)
-		s.count(i, j, ask)
-		s.count(i, j, answer)
+		request := s.stores[i].NewExchange("instance-0000", now)
+		answer := s.stores[j].Answer(request, now)
+		s.countBytes(i, j, request)
+		s.countBytes(i, j, answer)
 		s.stores[i].ApplyAnswer(answer, now)
 	}
 }
 
-// inForce counts the members that have a revision of a key.
-func (s *swarm) inForce(it wire.Item) int {
+// countWith counts the members that have a revision of a key or a newer one.
+func (s *cluster) countWith(it wire.Item) int {
 	n := 0
 	for _, st := range s.stores {
 		if got, _ := st.Get(it.Topic, it.Key); got.Rev >= it.Rev {
@@ -199,22 +199,22 @@
 	return n
 }
 
-func (s *swarm) read(reader int, it wire.Item) {
+func (s *cluster) read(reader int, it wire.Item) {
 	s.stores[reader].Add([]wire.Item{it})
 	s.stores[reader].MarkComplete(it.Topic, it.Rev)
 }
 
-// TestAChangeReaches3200MembersWithinThreeRounds has the bound of 4 s: a
-// round is a second, and a fifth of the pushes is lost.
+// TestAChangeReaches3200MembersWithinThreeRounds checks the bound of 4 s: a round takes a
+// second, and a fifth of the pushes is lost.
 func TestAChangeReaches3200MembersWithinThreeRounds(t *testing.T) {
-	s := newSwarm(3200)
+	s := newCluster(3200)
 	worst := 0
 	for rev := int64(1); rev <= 20; rev++ {
 		it := item(fmt.Sprint("workspace-", rev), rev, rev-1, "[limits]\ndeadline_ms = 1000\n")
 		s.read(0, it)
 		s.push(0, []wire.Item{it}, 0.2)
 		rounds := 0
-		for s.inForce(it) < len(s.stores) {
+		for s.countWith(it) < len(s.stores) {
 			rounds++
 			s.round(clock.Millis(rev) * 1000)
 		}
@@ -226,15 +226,15 @@
 	t.Logf("at most %d rounds", worst)
 }
 
-// TestWithoutPushesAChangeStillArrives bounds what the exchange alone does.
+// TestWithoutPushesAChangeStillArrives bounds the rounds that exchanges alone need.
 func TestWithoutPushesAChangeStillArrives(t *testing.T) {
-	s := newSwarm(3200)
+	s := newCluster(3200)
 	it := item("a", 1, 0, "x")
 	for reader := range 26 {
 		s.read(reader, it)
 	}
 	rounds := 0
-	for ; s.inForce(it) < len(s.stores); rounds++ {
+	for ; s.countWith(it) < len(s.stores); rounds++ {
 		s.round(0)
 	}
 	if rounds > 16 {
@@ -243,13 +243,12 @@
 	t.Logf("%d rounds", rounds)
 }
 
-// TestControlBytesDoNotGrowWithEngines measures a second of exchanges with
-// the real encoder, at the plan's rate of changes, for lists of 12 to 10,000
-// engines.
+// TestControlBytesDoNotGrowWithEngines measures a second of exchanges with the real
+// encoder, at the planned rate of changes, for lists of 12 to 10,000 engines.
 func TestControlBytesDoNotGrowWithEngines(t *testing.T) {
 	var perMember []float64
 	for _, engines := range []int{12, 480, 10_000} {
-		s := newSwarm(300)
+		s := newCluster(300)
 		fill(s, engines)
 		clear(s.bytes)
 		const seconds = 10
@@ -280,7 +279,7 @@
 	return fmt.Sprintf(`{"id":"daemon-%d","role":"daemon","addr":"10.0.0.1:7000","hall":"halfway-tree","pool":"drafting","engines":[{"id":"engine-%d","slots":16}],"state":"live"}`, i, i)
 }
 
-func fill(s *swarm, engines int) {
+func fill(s *cluster, engines int) {
 	var items []wire.Item
 	for i := range engines {
 		items = append(items, wire.Item{Topic: wire.TopicInstances, Key: fmt.Sprint("daemon-", i), Rev: int64(i + 1), Value: instanceText(i)})
@@ -291,10 +290,10 @@
 	}
 }
 
-// TestCatchingUpStaysWithinTheBudget bounds the bytes of each answer while a
-// process that has nothing catches up with a large list.
+// TestCatchingUpStaysWithinTheBudget bounds the bytes of each answer while a process
+// without data catches up with a large list.
 func TestCatchingUpStaysWithinTheBudget(t *testing.T) {
-	s := newSwarm(2)
+	s := newCluster(2)
 	fill(s, 3200)
 	fresh := spread.NewStore([]wire.Topic{wire.TopicCore, wire.TopicInstances}, spread.DefaultChunkBytes)
 	rounds, worst := 0, 0
@@ -314,15 +313,15 @@
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{30, 300, 3200} {
 		b.Run(fmt.Sprint("members=", n), func(b *testing.B) {
-			s := newSwarm(2)
+			s := newCluster(2)
 			fill(s, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				ask := s.stores[0].NewExchange("instance-0000", 0)
-				answer := s.stores[1].Answer(ask, 0)
+				request := s.stores[0].NewExchange("instance-0000", 0)
+				answer := s.stores[1].Answer(request, 0)
 				s.stores[0].ApplyAnswer(answer, 0)
-				s.count(0, 1, ask)
-				s.count(0, 1, answer)
+				s.countBytes(0, 1, request)
+				s.countBytes(0, 1, answer)
 			}
 			b.ReportMetric(float64(s.bytes[0])/float64(b.N), "bytes/op")
 		})
--- a/link/cut_test.go
+++ b/link/cut_test.go
@@ -16,12 +16,13 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// message returns a message as it stands on a connection.
+// message encodes a message as it is sent on a connection.
 func message(format byte, data []byte) []byte {
 	return append(binary.AppendUvarint([]byte{format}, uint64(len(data))), data...)
 }
 
-// A message that is cut short by the end of its connection is not taken for a shorter one.
+// A message that is truncated by the end of its connection must not be taken for a
+// shorter one.
 func TestATruncatedMessageIsDropped(t *testing.T) {
 	var frame bytes.Buffer
 	enc := msgpack.NewEncoder(&frame)
@@ -53,7 +54,7 @@
 			if err := nc.(*net.TCPConn).CloseWrite(); err != nil {
 				t.Fatal(err)
 			}
-			// The other side closes the connection when it has read it.
+			// The other side closes the connection once it has read everything.
 			_, _ = io.Copy(io.Discard, nc)
 			_ = nc.Close()
 			p.mu.Lock()
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -14,7 +14,8 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// peer answers "echo" and keeps what else it gets, in order.
+// peer echoes calls of "echo", streams frames for "stream" and records other messages in
+// order.
 type peer struct {
 	mu  sync.Mutex
 	got []string
@@ -107,7 +108,7 @@
 		t.Error("got another connection, want the same")
 	}
 	if first.PeerBootID() != link.BootID() {
-		t.Errorf("got boot %d, want this process's %d", first.PeerBootID(), link.BootID())
+		t.Errorf("got boot ID %d, want this process's %d", first.PeerBootID(), link.BootID())
 	}
 	first.Close()
 	<-first.Done()
--- a/link/silent_test.go
+++ b/link/silent_test.go
@@ -13,7 +13,7 @@
 	"github.com/weldfall/weldfall/link"
 )
 
-// wait waits until ok, far longer than it should take.
+// wait waits until ok returns true, far longer than that should take.
 func wait(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -25,8 +25,8 @@
 	t.Errorf("got no %s in 20 s", what)
 }
 
-// served starts a server whose connections may rest for a while.
-func served(t *testing.T) (addr string) {
+// startServer starts a server that closes connections after half a second without data.
+func startServer(t *testing.T) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,13 +38,12 @@
 	return ln.Addr().String()
 }
 
-// The end of a connection does not come through on one that is silent: the
-// server must let go of it by itself.
+// The end of a silent connection is not reported, so the server must close it by itself.
 func TestAServerClosesASilentConnection(t *testing.T) {
 	for _, way := range []linktest.Way{linktest.There, linktest.Both} {
 		t.Run(string(way), func(t *testing.T) {
 			t.Parallel()
-			l := linktest.New(t, served(t))
+			l := linktest.New(t, startServer(t))
 			pool := link.NewPool(clock.System(), &peer{})
 			t.Cleanup(pool.Close)
 			c, err := pool.Get(l.Addr(), link.Control)
@@ -58,12 +57,12 @@
 	}
 }
 
-// A connection that is used is kept.
+// A connection in use is kept.
 func TestAServerKeepsAConnectionThatIsUsed(t *testing.T) {
 	t.Parallel()
 	pool := link.NewPool(clock.System(), &peer{})
 	t.Cleanup(pool.Close)
-	addr := served(t)
+	addr := startServer(t)
 	first, err := pool.Get(addr, link.Control)
 	if err != nil {
 		t.Fatal(err)
@@ -75,14 +74,14 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	if again, err := pool.Get(addr, link.Control); again != first {
-		t.Errorf("got another connection (%v), want the one that is used", err)
+		t.Errorf("got another connection (%v), want the one in use", err)
 	}
 }
 
-// A connection that never says of which class it is holds nothing.
+// A connection that never sends its class byte must not stay open.
 func TestAServerClosesAConnectionThatSendsNothing(t *testing.T) {
 	t.Parallel()
-	c, err := net.Dial("tcp", served(t))
+	c, err := net.Dial("tcp", startServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,21 +94,21 @@
 	}
 }
 
-// What was not heard lately is closed, and what was is kept.
+// Connections without recent data are closed, others are kept.
 func TestCloseSilentKeepsActiveConnections(t *testing.T) {
 	t.Parallel()
 	clk := clock.System()
 	pool := link.NewPool(clk, &peer{})
 	t.Cleanup(pool.Close)
-	silent, err := pool.Get(served(t), link.Control)
+	silent, err := pool.Get(startServer(t), link.Control)
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(20 * time.Millisecond)
 	at := clk.Now()
 	time.Sleep(20 * time.Millisecond)
-	addr := served(t)
-	heard, err := pool.Get(addr, link.Control)
+	addr := startServer(t)
+	active, err := pool.Get(addr, link.Control)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,19 +116,19 @@
 		t.Errorf("got %d connections closed, want 1", got)
 	}
 	<-silent.Done()
-	if again, err := pool.Get(addr, link.Control); again != heard {
-		t.Errorf("got another connection (%v), want the one that was heard", err)
+	if again, err := pool.Get(addr, link.Control); again != active {
+		t.Errorf("got another connection (%v), want the active one", err)
 	}
 }
 
-// A connection that rested while this instance was suspended is not used again, whoever
-// noticed the suspension first. One that was dialed since is.
+// A connection that was idle while this instance was suspended is not used again, no
+// matter who noticed the suspension first. One that was dialed since is.
 func TestAPoolReplacesConnectionsIdleDuringASuspension(t *testing.T) {
 	t.Parallel()
 	h := clocktest.New()
 	pool := link.NewPool(clock.WithHands(h), &peer{})
 	t.Cleanup(pool.Close)
-	l := linktest.New(t, served(t))
+	l := linktest.New(t, startServer(t))
 	before, err := pool.Get(l.Addr(), link.Control)
 	if err != nil {
 		t.Fatal(err)
@@ -138,9 +137,9 @@
 	h.Suspend(2 * time.Second)
 	after, err := pool.Get(l.Addr(), link.Control)
 	if err != nil || after == before {
-		t.Fatalf("got the connection of before the suspension (%v), want a new one", err)
+		t.Fatalf("got the connection from before the suspension (%v), want a new one", err)
 	}
 	if again, err := pool.Get(l.Addr(), link.Control); again != after {
-		t.Errorf("got another connection (%v), want the one that was dialed since", err)
+		t.Errorf("got another connection (%v), want the one dialed since", err)
 	}
 }
--- a/link/wire/wire_test.go
+++ b/link/wire/wire_test.go
@@ -9,8 +9,7 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// oldHead is a Head, and oldFrame a Frame, as processes have them that know nothing of how
-// answers end.
+// oldHead and oldFrame are Head and Frame in processes that do not know EndsUntilClose.
 type (
 	oldHead struct {
 		Status int
@@ -37,7 +36,7 @@
 	return buf.Bytes()
 }
 
-// Processes of both kinds stand side by side while a fleet is replaced.
+// Old and new processes run side by side during a rolling upgrade.
 func TestEndsUntilCloseIsCompatibleWithOlderProcesses(t *testing.T) {
 	head := &wire.Head{Status: 200, Header: map[string]string{"A": "b"}}
 	head.MarkEndsUntilClose()
@@ -46,16 +45,16 @@
 	if err := msgpack.Unmarshal(data, &old); err != nil {
 		t.Fatalf("got %v for an older process, want the frame", err)
 	}
-	// net/http ends an answer with this header with its connection.
+	// net/http ends a response with this header with its connection.
 	if got := old.Head.Header["Transfer-Encoding"]; got != "identity" {
 		t.Errorf("got Transfer-Encoding %q for an older process, want identity", got)
 	}
 	var same wire.Frame
 	if err := msgpack.Unmarshal(data, &same); err != nil || !same.Head.EndsUntilClose() {
-		t.Errorf("got %+v, %v, want an answer that ends with its connection", same.Head, err)
+		t.Errorf("got %+v, %v, want a response that ends with its connection", same.Head, err)
 	}
-	var younger wire.Frame
-	if err := msgpack.Unmarshal(encode(t, oldFrame{Head: &oldHead{Status: 200}}), &younger); err != nil || younger.Head.EndsUntilClose() {
-		t.Errorf("got %+v, %v from an older process, want an answer of which that is not known", younger.Head, err)
+	var newer wire.Frame
+	if err := msgpack.Unmarshal(encode(t, oldFrame{Head: &oldHead{Status: 200}}), &newer); err != nil || newer.Head.EndsUntilClose() {
+		t.Errorf("got %+v, %v from an older process, want a response not marked to end with its connection", newer.Head, err)
 	}
 }
