--- a/gate/amnesia.go
+++ b/gate/amnesia.go
@@ -13,12 +13,12 @@
 func (g *Gate) beginUnknownHistory() {
 	now := g.clk.Now()
 	g.mu.Lock()
-	begins := len(g.registry.IDs()) > 0
-	if begins {
+	unknown := len(g.registry.IDs()) > 0
+	if unknown {
 		g.historyUnknownUntil = now + historyUnknownFor
 	}
 	g.mu.Unlock()
-	if !begins {
+	if !unknown {
 		return
 	}
 	g.guard.SetHistoryUnknownUntil(now + historyUnknownFor)
@@ -36,10 +36,10 @@
 func (g *Gate) receiveHistory(from string) {
 	now := g.clk.Now()
 	g.mu.Lock()
-	ends := now < g.historyUnknownUntil
+	wasUnknown := now < g.historyUnknownUntil
 	g.historyUnknownUntil = 0
 	g.mu.Unlock()
-	if !ends {
+	if !wasUnknown {
 		return
 	}
 	g.guard.SetHistoryUnknownUntil(0)
--- a/gate/call.go
+++ b/gate/call.go
@@ -40,10 +40,10 @@
 	service       string
 	workspace     *table.Workspace
 	body          []byte
-	// guardRequest is the call as the guard knows it, nil until it is first sent. alone is
+	// guardRequest is the call as the guard knows it, nil until it is first sent. isolated is
 	// true if the latest attempt was isolated.
 	guardRequest *quarantine.Request
-	alone        bool
+	isolated     bool
 	// bodyRequested is true once reading the body has begun; readingBody is true while it is
 	// read.
 	bodyRequested bool
@@ -68,8 +68,8 @@
 	// unsent is the number of engines that could not be reached.
 	unsent int
 	// chosenBy is how the latest engine was chosen. sentBefore is true if this entry had sent
-	// the prompt there before. hasSource is true if the engine was given the
-	// address of another one that has a longer prefix.
+	// the prompt there before. hasSource is true if the engine was given the address of
+	// another one that has a longer prefix.
 	chosenBy   engines.Basis
 	sentBefore bool
 	hasSource  bool
--- a/gate/dark.go
+++ b/gate/dark.go
@@ -30,10 +30,10 @@
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	wait := max(clock.Millis(healthCheckGoalPart*float64(c.route.GoalOrUsual())), g.durations.MaxTimeToFirstOutput(c.route))
 	stop := clock.AfterUnless(wait, func() {
-		defer close(over)
+		defer close(done)
 		if g.isUnresponsive(ctx, e, service.HealthPath, sent) {
 			g.guard.RecordUnresponsive(c.suspect(), e.Incarnation().Hash(), e.ID, sent)
 		}
@@ -41,7 +41,7 @@
 	return func() {
 		cancel()
 		if !stop() {
-			<-over
+			<-done
 		}
 	}
 }
@@ -56,9 +56,9 @@
 	g.mu.Lock()
 	known := g.registry.Find(e.Incarnation())
 	now := g.clk.Now()
-	quiet := known != nil && known.SilentSince(since, now) && known.AllowHealthCheck(now)
+	silent := known != nil && known.SilentSince(since, now) && known.AllowHealthCheck(now)
 	g.mu.Unlock()
-	if !quiet {
+	if !silent {
 		return false
 	}
 	req := &upstream.Request{Method: http.MethodGet, URI: healthPath, Host: e.Addr, Header: http.Header{g.wire.ExpectEngine: {e.ID}}}
--- a/gate/list.go
+++ b/gate/list.go
@@ -7,10 +7,10 @@
 // PutEngine records an engine of the list.
 func (g *Gate) PutEngine(in engines.Info) {
 	g.mu.Lock()
-	before := g.registry.Get(in.ID)
+	prev := g.registry.Get(in.ID)
 	change := g.registry.Put(in, g.clk.Now())
 	g.limitConns(g.table.Load(), in)
-	rivals := g.registry.AddrConflicts(in.ID)
+	conflicts := g.registry.AddrConflicts(in.ID)
 	g.mu.Unlock()
 	switch change {
 	case engines.Same:
@@ -20,11 +20,11 @@
 		return
 	case engines.Restarted:
 		// Connections to the earlier incarnation are of no more use.
-		g.pool.Forget(before.Info().Addr)
-		g.recordEnd(before.Info())
+		g.pool.Forget(prev.Info().Addr)
+		g.recordEnd(prev.Info())
 	}
 	g.log.Info("engine", "change", string(change), "engine", in.ID, "born", in.StartedAt, "service", in.Service, "addr", in.Addr, "hall", in.Hall)
-	for _, o := range rivals {
+	for _, o := range conflicts {
 		g.log.Warn("engine_address_shared", "addr", in.Addr, "engine", in.ID, "born", in.StartedAt, "other", o.ID, "other_born", o.StartedAt)
 	}
 }
@@ -46,10 +46,10 @@
 // recordEnd records that an incarnation of an engine has ended by the list. If it had
 // reported that it was draining, it ended as planned, whatever ran there.
 func (g *Gate) recordEnd(in engines.Info) {
-	mark := in.Incarnation().Hash()
-	g.guard.ConfirmCrash(mark)
+	hash := in.Incarnation().Hash()
+	g.guard.ConfirmCrash(hash)
 	if !in.Draining {
-		g.guard.RecordIncarnationEnd(mark, in.ID, endedByList)
+		g.guard.RecordIncarnationEnd(hash, in.ID, endedByList)
 	}
 }
 
--- a/gate/news.go
+++ b/gate/news.go
@@ -69,9 +69,9 @@
 	g.transferring = false
 }
 
-// outdatedMargin is subtracted from the bound for changes. This entry may learn of a change
-// that much later than others, since a slow store responds after 400 ms, and a request
-// takes some time to reach an engine.
+// outdatedMargin is subtracted from the bound for changes. A change may have been confirmed
+// that much before this entry learns of it, since a slow store responds after 400 ms, and a
+// request takes some time to reach an engine.
 const outdatedMargin clock.Millis = 650
 
 // outdated returns how long the version in force has been known not to be the newest, if
--- a/gate/place.go
+++ b/gate/place.go
@@ -13,7 +13,7 @@
 
 // choose chooses the engine for the next attempt and counts the request there. An isolated
 // request goes where the fewest others are.
-func (g *Gate) choose(c *call, alone bool) (pick, *verdict.Error) {
+func (g *Gate) choose(c *call, isolated bool) (pick, *verdict.Error) {
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -25,9 +25,9 @@
 	cost := engines.Cost{Prefill: g.prefillMillis(c.service), Transfer: service.MoveTime}
 	ch, ok := g.registry.Choose(engines.Query{
 		Service: c.service, Keys: c.prefixKeys, Tokens: c.prefixTokens, Cost: cost, Bound: bound, Slack: slack,
-		MaxSilence: maxSilence(c.route), Warmup: g.warmup(c), Tried: c.tried, Isolated: alone, Random: random(),
+		MaxSilence: maxSilence(c.route), Warmup: g.warmup(c), Tried: c.tried, Isolated: isolated, Random: random(),
 	}, now)
-	if !ok && alone {
+	if !ok && isolated {
 		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines crashed while they ran this request, and no engine of %s is free to run it in isolation", c.service).WithRetryAfter(retrySoon)
 	}
 	if !ok {
@@ -36,7 +36,7 @@
 	in := ch.Engine.Info()
 	ch.Engine.BeginRequest(now)
 	c.sentAt = now
-	c.tried, c.alone = append(c.tried, in.ID), alone
+	c.tried, c.isolated = append(c.tried, in.ID), isolated
 	c.chosenBy, c.sentBefore, c.engineLoad, c.meanLoad = ch.Basis, ch.PrefixSent, ch.Load, ch.Mean
 	p := pick{Info: in}
 	if service.Moves && ch.Source != nil {
@@ -123,9 +123,9 @@
 			g.mu.Unlock()
 			return
 		}
-		addr, sought := e.Info().Addr, e.AcceptsRequests()
+		addr, accepts := e.Info().Addr, e.AcceptsRequests()
 		g.mu.Unlock()
-		if !sought || g.pool.Preconnect(addr) != nil {
+		if !accepts || g.pool.Preconnect(addr) != nil {
 			continue
 		}
 		g.mu.Lock()
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -65,15 +65,15 @@
 // Relay reads a response to its end and passes it on. The reply begins as late as possible,
 // so that a response that breaks off early can be reported as a failure or retried
 // elsewhere.
-func (p *Reply) Relay(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
-	p.observed = Observed{Framing: framing.Of(head)}
+func (p *Reply) Relay(ctx context.Context, x Exchange, resp *http.Response, body Body) attempt.Outcome {
+	p.observed = Observed{Framing: framing.Of(resp)}
 	switch {
-	case x.WantsStream() && head.StatusCode == http.StatusOK && hasEvents(head.Header):
-		return p.relayStream(ctx, x, head, body)
+	case x.WantsStream() && resp.StatusCode == http.StatusOK && hasEvents(resp.Header):
+		return p.relayStream(ctx, x, resp, body)
 	case p.Started():
-		return attempt.Broken{Err: fmt.Errorf("status %d in response to the continuation of a stream", head.StatusCode)}
+		return attempt.Broken{Err: fmt.Errorf("status %d in response to the continuation of a stream", resp.StatusCode)}
 	}
-	return p.relayBuffered(ctx, x, head, body)
+	return p.relayBuffered(ctx, x, resp, body)
 }
 
 // hasEvents reports whether the body is a stream of events that can be parsed.
@@ -84,20 +84,20 @@
 }
 
 // relayBuffered buffers a response until it has ended.
-func (p *Reply) relayBuffered(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
-	var held bytes.Buffer
-	_, err := io.CopyN(&held, body, bufferLimit)
+func (p *Reply) relayBuffered(ctx context.Context, x Exchange, resp *http.Response, body Body) attempt.Outcome {
+	var buf bytes.Buffer
+	_, err := io.CopyN(&buf, body, bufferLimit)
 	if err == nil {
-		return p.relayUnbuffered(ctx, x, head, body, held.Bytes())
+		return p.relayUnbuffered(ctx, x, resp, body, buf.Bytes())
 	}
 	if p.end(err); !errors.Is(err, io.EOF) {
 		return brokenOrGone(ctx, err)
 	}
-	h := &attempt.BufferedResponse{Status: head.StatusCode, Header: head.Header, Body: held.Bytes(), End: p.observed.End}
+	h := &attempt.BufferedResponse{Status: resp.StatusCode, Header: resp.Header, Body: buf.Bytes(), End: p.observed.End}
 	switch {
-	case impliesNotRun(head.StatusCode):
-		return attempt.Broken{Err: fmt.Errorf("status %d without the header that says that the request did not run", head.StatusCode)}
-	case head.StatusCode >= http.StatusInternalServerError:
+	case impliesNotRun(resp.StatusCode):
+		return attempt.Broken{Err: fmt.Errorf("status %d without the header that says that the request did not run", resp.StatusCode)}
+	case resp.StatusCode >= http.StatusInternalServerError:
 		return attempt.Failed{Response: h}
 	}
 	p.WriteBuffered(h)
@@ -115,9 +115,9 @@
 }
 
 // relayUnbuffered passes on a response that is too large to be buffered.
-func (p *Reply) relayUnbuffered(ctx context.Context, x Exchange, head *http.Response, body Body, first []byte) attempt.Outcome {
+func (p *Reply) relayUnbuffered(ctx context.Context, x Exchange, resp *http.Response, body Body, first []byte) attempt.Outcome {
 	x.OnUnbuffered()
-	p.begin(head.StatusCode, head.Header, p.observed.Framing, head.ContentLength)
+	p.begin(resp.StatusCode, resp.Header, p.observed.Framing, resp.ContentLength)
 	// The timeout for the header no longer applies: the request cannot be retried any more,
 	// and the caller may be slow.
 	body.SetReadTimeout(x.TimeLeft())
@@ -145,7 +145,7 @@
 // relayStream passes on complete events as they arrive. Nothing is written before the first
 // complete event, so that a stream that breaks off earlier can be reported as a failure or
 // retried elsewhere.
-func (p *Reply) relayStream(ctx context.Context, x Exchange, head *http.Response, body Body) attempt.Outcome {
+func (p *Reply) relayStream(ctx context.Context, x Exchange, resp *http.Response, body Body) attempt.Outcome {
 	buf := make([]byte, bufferSize)
 	for {
 		body.SetReadTimeout(x.ReadTimeout())
@@ -153,7 +153,7 @@
 		if n > 0 {
 			x.OnRead()
 		}
-		whole, ok := p.splitter.Split(buf[:n])
+		complete, ok := p.splitter.Split(buf[:n])
 		if !ok {
 			err = errTooLong
 		}
@@ -163,12 +163,12 @@
 		ended := errors.Is(err, io.EOF)
 		if ended {
 			// The rest can only be empty lines and comments.
-			whole = append(whole, p.splitter.Pending()...)
+			complete = append(complete, p.splitter.Pending()...)
 		}
 		if err != nil {
 			p.splitter.DropPending()
 		}
-		if (len(whole) > 0 || ended) && !p.passEvents(x, head, whole) {
+		if (len(complete) > 0 || ended) && !p.passEvents(x, resp, complete) {
 			return attempt.CallerGone{}
 		}
 		if (err != nil || body.Buffered() == 0) && !p.flush() {
@@ -206,17 +206,17 @@
 }
 
 // passEvents writes events and reports whether the caller still accepts data.
-func (p *Reply) passEvents(x Exchange, head *http.Response, whole []byte) bool {
+func (p *Reply) passEvents(x Exchange, resp *http.Response, complete []byte) bool {
 	if !p.Started() {
 		f := framing.Chunked
 		if p.observed.Framing == framing.UntilClose {
 			f = framing.UntilClose
 		}
-		p.begin(head.StatusCode, head.Header, f, 0)
+		p.begin(resp.StatusCode, resp.Header, f, 0)
 		p.streaming = true
 	}
 	x.OnEvents(p.splitter.Count())
-	return p.write(whole) == nil
+	return p.write(complete) == nil
 }
 
 // brokenOrGone returns the outcome of a failed read.
--- a/gate/relay/reply.go
+++ b/gate/relay/reply.go
@@ -17,8 +17,8 @@
 type Config struct {
 	W http.ResponseWriter
 	R *http.Request
-	// SetHeaders sets the headers of the reply from those of the engine's response, or from
-	// is nil for a failure of this process. It is called once, before the header is written.
+	// SetHeaders sets the headers of the reply from those of the engine's response. from is
+	// nil for a failure of this process. It is called once, before the header is written.
 	SetHeaders func(to, from http.Header)
 	Clock      *clock.Clock
 }
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -29,14 +29,14 @@
 
 // place decides whether a request may be sent, and to which engine.
 func (g *Gate) place(ctx context.Context, c *call) (pick, *verdict.Error) {
-	alone, err := g.guard.Admit(ctx, c.suspect(), c.verdict(), g.contact())
+	isolated, err := g.guard.Admit(ctx, c.suspect(), c.verdict(), g.contact())
 	if err != nil {
 		return pick{}, err
 	}
 	g.skipUnresponsive(c)
-	e, err := g.choose(c, alone)
+	e, err := g.choose(c, isolated)
 	switch {
-	case !alone:
+	case !isolated:
 	case err != nil:
 		g.guard.EndTrial(c.suspect())
 	default:
@@ -74,7 +74,7 @@
 		g.recordBreak(ctx, c, e, o.Err)
 	case attempt.Failed, attempt.Refused, attempt.NotSent, attempt.CallerGone:
 	}
-	if c.alone {
+	if c.isolated {
 		g.guard.EndTrial(c.suspect())
 		g.reserve(hash, 0)
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// endedByList is the reason of ends that the list of engines shows: an entry of a later
-// incarnation, or a missing one.
+// endedByList is the reason for an end that the list of engines shows by a later
+// incarnation or a missing entry.
 const endedByList = "listed"
 
 // engineEnded reports whether the engine that broke off an exchange has ended. A broken
