--- a/fleet/once/claim.go
+++ b/fleet/once/claim.go
@@ -115,7 +115,7 @@
 
 // NewTally returns a tally for the given number of witnesses, of which gone were replaced
 // within the window.
-func NewTally(asked, gone int) *Tally { return &Tally{witnesses: asked, gone: gone} }
+func NewTally(witnesses, gone int) *Tally { return &Tally{witnesses: witnesses, gone: gone} }
 
 // AddGrant counts the answer of one witness. A witness that does not answer is not
 // counted.
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -136,8 +136,8 @@
 	return len(n.poolTargets(pool, n.clk.Now()).targets), listed
 }
 
-// RandomEntries returns the addresses of up to most other entries.
-func (n *Node) RandomEntries(most int) []string {
+// RandomEntries returns the addresses of up to limit random other entries.
+func (n *Node) RandomEntries(limit int) []string {
 	n.mu.Lock()
 	peers := n.view.Peers()
 	n.mu.Unlock()
@@ -148,7 +148,7 @@
 		}
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
 
 // SampleLoads records the load reports in an answer.
--- a/fleet/read.go
+++ b/fleet/read.go
@@ -98,8 +98,8 @@
 }
 
 // read applies what the platform has after the local revision and reports whether it
-// succeeded. An answer from an older revision does not count as an answer of the
-// platform.
+// succeeded. Items of an older revision change nothing, and such an answer does not renew
+// the platform's age.
 func (n *Node) read(ctx context.Context, t source.Topic, wait clock.Millis) bool {
 	n.mu.Lock()
 	after := n.readAfter(t)
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -92,7 +92,7 @@
 	// ReceiveStatus handles the status of the peer named from, which was valid at the
 	// given time or later. A peer may be wrong or lie; only ages, loads and suspects may
 	// be taken from it.
-	ReceiveStatus(from string, k Status, at clock.Millis)
+	ReceiveStatus(from string, st Status, at clock.Millis)
 	// Stop returns the planned stop of the process, zero if it is not stopping.
 	Stop() Stop
 	// SetFleet receives a summary of the known entries.
@@ -110,7 +110,7 @@
 	ChangesSince(p changes.Position) (changes.Delta, bool)
 	// ReceiveChanges handles the delta that the peer at an address returned to a request
 	// sent at the given time. It may be false.
-	ReceiveChanges(from string, w changes.Delta, at clock.Millis)
+	ReceiveChanges(from string, d changes.Delta, at clock.Millis)
 	// BroadcastSuspects sends all suspects to other entries at once.
 	BroadcastSuspects()
 	gossip.Source
@@ -295,7 +295,7 @@
 // the checksum sum, if the host wants them. A peer that does not have them answers with
 // an error, which costs one message.
 func (p *Peers) fetchChanges(ctx context.Context, addr string, sum uint32) {
-	place, ok := p.cfg.Host.WantedChanges(sum)
+	pos, ok := p.cfg.Host.WantedChanges(sum)
 	if !ok {
 		return
 	}
@@ -307,12 +307,12 @@
 		p.log.Debug("ask_failed", "peer", addr, "error", err)
 		return
 	}
-	var w changes.Delta
-	if err := c.Call(ctx, methodChanges, place, &w); err != nil {
+	var d changes.Delta
+	if err := c.Call(ctx, methodChanges, pos, &d); err != nil {
 		p.log.Debug("ask_failed", "peer", addr, "error", err)
 		return
 	}
-	p.cfg.Host.ReceiveChanges(addr, w, at)
+	p.cfg.Host.ReceiveChanges(addr, d, at)
 }
 
 // closeSilent closes all connections without received data since sent, the time of a
@@ -324,14 +324,14 @@
 	p.log.Warn("connection_silent", "to", "peer", "addr", addr, "silent_ms", p.clk.Now()-sent, "closed", n)
 }
 
-// newMessage returns a message with the status k and some members.
-func (p *Peers) newMessage(k Status) message {
+// newMessage returns a message with the status st and some members.
+func (p *Peers) newMessage(st Status) message {
 	stop := p.cfg.Host.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members.SetStop(stop)
 	now := p.clk.Now()
-	return message{Members: p.members.Sample(now), Packed: p.members.Pack(now), Status: k}
+	return message{Members: p.members.Sample(now), Packed: p.members.Pack(now), Status: st}
 }
 
 // sender returns the ID of the process that sent the message, or "".
@@ -376,14 +376,14 @@
 	case methodAsk:
 		return p.handleRequest(method, params)
 	case methodChanges:
-		place, err := wire.Decode[changes.Position](method, params)
+		pos, err := wire.Decode[changes.Position](method, params)
 		if err != nil {
 			return nil, err
 		}
-		if w, ok := p.cfg.Host.ChangesSince(place); ok {
-			return w, nil
+		if d, ok := p.cfg.Host.ChangesSince(pos); ok {
+			return d, nil
 		}
-		return nil, fmt.Errorf("no changes since revision %d of epoch %d: position is outside the change log", place.Revision, place.Epoch)
+		return nil, fmt.Errorf("no changes since revision %d of epoch %d: position is outside the change log", pos.Revision, pos.Epoch)
 	}
 	return nil, fmt.Errorf("unknown method %q", method)
 }
--- a/peers/share.go
+++ b/peers/share.go
@@ -18,13 +18,13 @@
 }
 
 // NewShares returns the shares of the entry self among others. Missing entries are made
-// up until there are least, this one included.
-func NewShares(self string, others []string, least int) Shares {
+// up until there are minEntries, this one included.
+func NewShares(self string, others []string, minEntries int) Shares {
 	s := Shares{self: self}
 	for _, id := range others {
 		s.seeds = append(s.seeds, xxh3.HashString(id))
 	}
-	for i := len(others) + 1; i < least; i++ {
+	for i := len(others) + 1; i < minEntries; i++ {
 		s.seeds = append(s.seeds, xxh3.HashString("unknown "+strconv.Itoa(i)))
 	}
 	return s
--- a/peers/suspects.go
+++ b/peers/suspects.go
@@ -16,26 +16,26 @@
 
 // request returns the message that a call sends.
 func (p *Peers) request() message {
-	k := p.cfg.Host.LocalStatus(requestLoads, gossip.MaxRequestSuspects)
+	st := p.cfg.Host.LocalStatus(requestLoads, gossip.MaxRequestSuspects)
 	p.mu.Lock()
 	at := p.suspectsDifferedAt
 	p.mu.Unlock()
 	if at == 0 || p.clk.Now()-at > suspectsDifferFor {
-		k.Suspects = ""
+		st.Suspects = ""
 	}
-	return p.newMessage(k)
+	return p.newMessage(st)
 }
 
 // response returns the answer to a request. It includes suspects if the peer knows
 // others.
 func (p *Peers) response(req message) message {
 	p.cfg.Host.ReceiveSuspects(req.sender(), req.Status.Suspects)
-	k := p.cfg.Host.LocalStatus(responseLoads, gossip.MaxResponseSuspects)
-	if !p.suspectsDiffer(k, req.Status) {
-		k.Suspects = ""
+	st := p.cfg.Host.LocalStatus(responseLoads, gossip.MaxResponseSuspects)
+	if !p.suspectsDiffer(st, req.Status) {
+		st.Suspects = ""
 	}
-	p.maybeBroadcast(k, req)
-	return p.newMessage(k)
+	p.maybeBroadcast(st, req)
+	return p.newMessage(st)
 }
 
 // maybeBroadcast sends all suspects to other entries if this process knows them and the
