--- a/callers/chats/chats.go
+++ b/callers/chats/chats.go
@@ -1,6 +1,6 @@
-// Package chats is weldfall's own interface of callers: the usual chat protocol and
-// calls of plain services, by the names of their headers, their bodies, and how
-// failures are told. Nothing is decided here.
+// Package chats defines weldfall's own HTTP interface: the usual chat completions protocol,
+// and requests to plain services. It parses headers and bodies and formats failures, and
+// leaves all decisions to package entry.
 package chats
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Headers that callers may send and get.
+// Request and response headers.
 const (
 	HeaderChat           = "Weldfall-Chat"
 	HeaderRepeatable     = "Weldfall-Repeatable"
@@ -27,29 +27,29 @@
 )
 
 const (
-	// Service is the service name of chats in the settings tree.
+	// Service is the service name of chat requests in the settings tree.
 	Service = "chat"
-	// Path is where chats come in, and go on to engines.
+	// Path is the URL path of chat requests, both at an entry and at an engine.
 	Path = "/v1/chat/completions"
-	// DoneEvent ends a stream that is whole; a client that misses it knows that
-	// the answer was cut.
+	// DoneEvent ends a complete stream. Its absence tells the caller that the response is
+	// incomplete.
 	DoneEvent = "data: [DONE]\n\n"
 )
 
 const (
-	// defaultAnswer is the estimate of an answer that the request does not limit,
-	// in tokens.
-	defaultAnswer = 256
-	// bytesPerToken is the estimate for prompts.
+	// defaultResponseTokens estimates the length of a response that the request does not
+	// limit.
+	defaultResponseTokens = 256
+	// bytesPerToken is the estimated size of a token of a request body.
 	bytesPerToken = 4
 )
 
-// Turn is a request of a chat. The zero value is one of a plain service.
+// Turn is one request of a chat. The zero value is a request to a plain service.
 type Turn struct {
 	body body
 }
 
-// body is what the way of a chat turn depends on.
+// body has the fields of a chat request that affect how it is processed.
 type body struct {
 	Model               string `json:"model"`
 	Stream              bool   `json:"stream"`
@@ -65,54 +65,56 @@
 	} `json:"messages"`
 }
 
-// Parse reads the body of a chat turn.
+// Parse parses the body of a chat request. The error has the reason verdict.BadRequest.
 func Parse(text []byte) (Turn, *verdict.Error) {
 	var t Turn
 	if err := json.Unmarshal(text, &t.body); err != nil {
-		return Turn{}, verdict.New(verdict.NotRun, verdict.BadRequest, "the body is no chat request: %w", err)
+		return Turn{}, verdict.New(verdict.NotRun, verdict.BadRequest, "the body is not a valid chat request: %w", err)
 	}
 	if len(t.body.Messages) == 0 {
-		return Turn{}, verdict.New(verdict.NotRun, verdict.BadRequest, "messages: at least one is needed")
+		return Turn{}, verdict.New(verdict.NotRun, verdict.BadRequest, "messages: at least one message is required")
 	}
 	return t, nil
 }
 
-// Model returns the model that is asked.
+// Model returns the requested model.
 func (t Turn) Model() string { return t.body.Model }
 
-// WantsStream reports whether the answer is to come as a stream, and WantUsage whether the
-// usage is to come in it.
+// WantsStream reports whether the caller requested a streamed response.
 func (t Turn) WantsStream() bool { return t.body.Stream }
-func (t Turn) WantsUsage() bool  { return t.body.StreamOptions.IncludeUsage }
 
-// Cost estimates a request with a body of so many bytes, in tokens.
+// WantsUsage reports whether the stream must include the token usage.
+func (t Turn) WantsUsage() bool { return t.body.StreamOptions.IncludeUsage }
+
+// Cost returns the estimated cost in tokens of a request with a body of bodyBytes bytes.
 func (t Turn) Cost(bodyBytes int) int {
-	answer := max(t.body.MaxTokens, t.body.MaxCompletionTokens)
-	if answer == 0 {
-		answer = defaultAnswer
+	responseTokens := max(t.body.MaxTokens, t.body.MaxCompletionTokens)
+	if responseTokens == 0 {
+		responseTokens = defaultResponseTokens
 	}
-	return 1 + bodyBytes/bytesPerToken + answer
+	return 1 + bodyBytes/bytesPerToken + responseTokens
 }
 
-// ChatKey identifies the chat of a workspace: by the explicit header, else by the
-// protocol's own field, else by what stays the same in all turns, the messages up to
-// the first of the user. returning is true if the messages show an earlier turn.
+// ChatKey returns the key of a chat within a workspace. It is derived from the header
+// HeaderChat if that is set, else from the field prompt_cache_key, else from the messages up
+// to the first one of the user, which are the same in all turns. returning is true if the
+// messages contain an earlier turn.
 func (t Turn) ChatKey(workspace string, h http.Header) (key uint64, returning bool) {
-	var opening xxh3.Hasher
-	opened := false
+	var prefixHash xxh3.Hasher
+	prefixDone := false
 	for _, m := range t.body.Messages {
 		if m.Role == "assistant" {
 			returning = true
 		}
-		if !opened {
-			_, _ = opening.WriteString(m.Role)
-			_, _ = opening.Write(m.Content)
-			opened = m.Role == "user"
+		if !prefixDone {
+			_, _ = prefixHash.WriteString(m.Role)
+			_, _ = prefixHash.Write(m.Content)
+			prefixDone = m.Role == "user"
 		}
 	}
 	name := t.name(h)
 	if name == "" {
-		name = strconv.FormatUint(opening.Sum64(), 16)
+		name = strconv.FormatUint(prefixHash.Sum64(), 16)
 	}
 	return route.ChatKey(workspace, name), returning
 }
@@ -122,7 +124,7 @@
 
 func (t Turn) name(h http.Header) string { return cmp.Or(h.Get(HeaderChat), t.body.CacheKey) }
 
-// BearerKey returns the key of the caller.
+// BearerKey returns the caller's key from the Authorization header.
 func BearerKey(h http.Header) (string, *verdict.Error) {
 	key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -131,16 +133,17 @@
 	return strings.TrimSpace(key), nil
 }
 
-// Repeatable reports whether a request may run again: as it is marked, else as the
-// settings say, unless it has a key.
+// Repeatable reports whether a request may run more than once. The header HeaderRepeatable
+// decides if it is set. Otherwise a request with an idempotency key is not repeatable, and
+// bySettings applies to the others.
 func Repeatable(h http.Header, bySettings bool) (bool, *verdict.Error) {
-	mark := h.Get(HeaderRepeatable)
-	if mark == "" {
+	value := h.Get(HeaderRepeatable)
+	if value == "" {
 		return bySettings && h.Get(HeaderIdempotencyKey) == "", nil
 	}
-	marked, err := strconv.ParseBool(mark)
+	repeatable, err := strconv.ParseBool(value)
 	if err != nil {
-		return false, verdict.New(verdict.NotRun, verdict.BadRequest, "%s: write true or false", HeaderRepeatable)
+		return false, verdict.New(verdict.NotRun, verdict.BadRequest, "%s: must be true or false", HeaderRepeatable)
 	}
-	return marked, nil
+	return repeatable, nil
 }
--- a/callers/chats/failures.go
+++ b/callers/chats/failures.go
@@ -9,7 +9,7 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// errorBody is the protocol's own error body, with the verdict in it.
+// errorBody is the error body of the chat completions protocol, extended by the verdict.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -21,11 +21,12 @@
 	Param   *string         `json:"param"`
 	Verdict verdict.Verdict `json:"verdict"`
 	Request string          `json:"request"`
-	// RetryAfterMS is zero where coming back does not help.
+	// RetryAfterMS is 0 if a retry does not help.
 	RetryAfterMS clock.Millis `json:"retry_after_ms,omitempty"`
 }
 
-// FailureFormat is how failures are told: the protocol's own error, with the verdict.
+// FailureFormat formats failures as errors of the chat completions protocol, extended by the
+// verdict.
 var FailureFormat = failure.Format{
 	StatusCodes: failure.StatusCodes{
 		ByReason: map[verdict.Reason]int{
@@ -56,12 +57,12 @@
 	Header: func(h http.Header, f failure.Failure) {
 		h.Set(HeaderRequestID, f.RequestID)
 		h.Set(HeaderVerdict, string(f.Err.Verdict()))
-		if back := f.Err.RetryAfter(); back > 0 {
-			h.Set("Retry-After", strconv.FormatInt(int64(back+999)/1000, 10))
-			h.Set("Retry-After-Ms", strconv.FormatInt(int64(back), 10))
+		if wait := f.Err.RetryAfter(); wait > 0 {
+			h.Set("Retry-After", strconv.FormatInt(int64(wait+999)/1000, 10))
+			h.Set("Retry-After-Ms", strconv.FormatInt(int64(wait), 10))
 		}
 		if f.Err.Verdict() == verdict.MayHaveRun && f.AtMostOnce {
-			// Clients that retry on their own must not repeat this one.
+			// Tells client libraries that retry automatically not to retry this request.
 			h.Set("X-Should-Retry", "false")
 		}
 	},
--- a/callers/failure/failure.go
+++ b/callers/failure/failure.go
@@ -1,6 +1,6 @@
-// Package failure says how a request that failed is told to its caller. What is told
-// is the same everywhere, the verdict and the reason; each interface of callers has
-// its own statuses, headers and body, which it gives as values.
+// Package failure encodes failed requests as HTTP responses. The verdict and the reason are
+// the same for every HTTP interface; each interface supplies its own status codes, headers
+// and body in a Format.
 package failure
 
 import (
@@ -10,27 +10,27 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Failure is a request that failed.
+// Failure describes a failed request.
 type Failure struct {
-	// RequestID is its id, "" if it has none.
+	// RequestID is empty if the request has none.
 	RequestID string
-	// Filter is the filter that failed.
+	// Filter is the name of the filter that failed.
 	Filter string
 	Err    *verdict.Error
-	// AtMostOnce is true if it may run once only.
+	// AtMostOnce is set if the request must not run more than once.
 	AtMostOnce bool
 }
 
-// StatusCodes are those that an interface gives to failures.
+// StatusCodes maps failures to the HTTP status codes of an interface.
 type StatusCodes struct {
-	// ByReason has the reasons that have one whatever the verdict, MayHaveRun those
-	// that have one unless the request has not run.
+	// ByReason applies whatever the verdict is. MayHaveRun applies unless the request
+	// certainly did not run.
 	ByReason, MayHaveRun map[verdict.Reason]int
-	// NotRun and Default are those of the rest.
+	// NotRun and Default apply to reasons that the maps do not contain.
 	NotRun, Default int
 }
 
-// For returns the status of a failure.
+// For returns the status code of a failure.
 func (s StatusCodes) For(err *verdict.Error) int {
 	if status, ok := s.ByReason[err.Reason()]; ok {
 		return status
@@ -44,23 +44,25 @@
 	return s.Default
 }
 
-// Format is how an interface of callers tells failures.
+// Format defines how an HTTP interface reports failures.
 type Format struct {
 	StatusCodes StatusCodes
-	// Body returns what the body tells, which is encoded as JSON.
+	// Body returns the response body, which is encoded as JSON.
 	Body func(f Failure) any
-	// Header sets the headers besides that of the body's type.
+	// Header sets all headers but Content-Type.
 	Header func(h http.Header, f Failure)
 }
 
-// Encode returns the body of a failure, also for an answer that has begun.
-func (s Format) Encode(f Failure) ([]byte, error) { return json.Marshal(s.Body(f)) }
+// Encode returns the encoded body of a failure. It is also used for failures in the middle of
+// a response.
+func (fm Format) Encode(f Failure) ([]byte, error) { return json.Marshal(fm.Body(f)) }
 
-// Prepare sets the headers of a failure and returns its status and body. Nothing is
-// written yet. With an error the status holds all the same, and the body is empty.
-func (s Format) Prepare(h http.Header, f Failure) (status int, body []byte, err error) {
+// Prepare sets the response headers of a failure and returns its status code and body. It
+// writes nothing. If the body cannot be encoded, the status code is still valid and the body
+// is empty.
+func (fm Format) Prepare(h http.Header, f Failure) (status int, body []byte, err error) {
 	h.Set("Content-Type", "application/json")
-	s.Header(h, f)
-	body, err = s.Encode(f)
-	return s.StatusCodes.For(f.Err), body, err
+	fm.Header(h, f)
+	body, err = fm.Encode(f)
+	return fm.StatusCodes.For(f.Err), body, err
 }
--- a/callers/failure/failure_test.go
+++ b/callers/failure/failure_test.go
@@ -7,7 +7,7 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-func TestAStatusFollowsFromReasonAndVerdict(t *testing.T) {
+func TestStatusCodesFor(t *testing.T) {
 	s := failure.StatusCodes{
 		ByReason:   map[verdict.Reason]int{verdict.BadRequest: 400},
 		MayHaveRun: map[verdict.Reason]int{verdict.Deadline: 504},
--- a/callers/filter/filter.go
+++ b/callers/filter/filter.go
@@ -1,6 +1,6 @@
-// Package filter takes a request through a list of filters. Each interface of
-// callers has a list of its own; what a list is, and how it ends, stands here
-// alone. It is pure.
+// Package filter runs a request through a list of filters. Each HTTP interface has its own
+// list; the rule for the order and for ending early is the same for all and is defined here.
+// The package has no state and does no I/O.
 package filter
 
 import (
@@ -9,18 +9,19 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Filter is one step of the way of a request, which C holds. Its error ends
-// the way and says whether the request may have run.
+// Filter is one step in the processing of a request of type C.
 type Filter[C any] struct {
 	Name string
-	Run  func(ctx context.Context, c C) *verdict.Error
+	// Run returns an error to end the processing. The error says whether the request may
+	// have run.
+	Run func(ctx context.Context, c C) *verdict.Error
 }
 
-// List is the way of a request, in order.
+// List is a sequence of filters.
 type List[C any] []Filter[C]
 
-// Run takes a request through the filters up to the first that fails. It
-// returns the name and the error of that one, or "" and nil.
+// Run runs the filters in order until one fails. It returns the name and the error of the
+// filter that failed, or "" and nil.
 func (l List[C]) Run(ctx context.Context, c C) (name string, err *verdict.Error) {
 	for _, f := range l {
 		if err := f.Run(ctx, c); err != nil {
