--- a/callers/ahead.go
+++ b/callers/ahead.go
@@ -8,46 +8,47 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// The library notices that a caller has left by a read of one byte while the
-// request is served. A caller that has sent more than its request, if only the
-// beginning of the next, gives it that byte, and nobody reads any further: the
-// end behind it would be met when the answer is written. So the connection reads
-// on by itself until the library does.
+// While a handler runs, net/http detects a disconnect by a pending read of one byte. If the
+// caller has sent more than the current request, such as the beginning of a pipelined one, that
+// read returns a byte and net/http stops reading. The disconnect would then be noticed only when
+// the response is written. Therefore conn continues to read, into a buffer, until net/http reads
+// again.
 
 const (
-	// maxReadAhead bounds what is read ahead, in bytes: some dozens of requests
-	// without their bodies.
+	// maxReadAhead limits the buffered data, in bytes. It holds some dozens of requests
+	// without bodies.
 	maxReadAhead = 64 << 10
-	// readAheadSize is the size of a read, in bytes.
+	// readAheadSize is the size of one read, in bytes.
 	readAheadSize = 4 << 10
 )
 
-// readAheadBuffer is what was read beyond the request that is served. The connection's
-// mu guards it.
+// readAheadBuffer holds data that was read beyond the current request. It is guarded by
+// conn.mu.
 type readAheadBuffer struct {
 	bytes []byte
-	// err is why there is no more, nil while there may be.
+	// err is the error that ended the reading ahead, or nil if more data may follow.
 	err error
-	// done is closed when the goroutine that reads ahead has ended, nil if there
-	// is none.
+	// done is closed when the goroutine that reads ahead returns. It is nil if there is no
+	// such goroutine.
 	done chan struct{}
-	// deadline is the one that was last set for reading; it holds for the
-	// library's reads, while one that is over interrupts the goroutine.
+	// deadline is the read deadline that net/http set last. It is restored after a deadline
+	// in the past was set to interrupt the goroutine.
 	deadline time.Time
-	// onDisconnect is told when the caller leaves, nil while no request is served.
+	// onDisconnect is called when the caller disconnects. It is nil while no request is
+	// served.
 	onDisconnect func(cause error)
 }
 
-// errDisconnected is why the request of a caller who has left ends.
-var errDisconnected = errors.New("the caller left")
+var errDisconnected = errors.New("the caller disconnected")
 
-// setOnDisconnect has left called once if the caller leaves, or has left.
-func (c *conn) setOnDisconnect(left func(cause error)) {
+// setOnDisconnect sets the function to call when the caller disconnects. The function is called
+// at once if the caller already has.
+func (c *conn) setOnDisconnect(f func(cause error)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pipelined.onDisconnect = left
-	if left != nil && c.pipelined.err != nil {
-		left(errDisconnected)
+	c.pipelined.onDisconnect = f
+	if f != nil && c.pipelined.err != nil {
+		f(errDisconnected)
 	}
 }
 
@@ -59,8 +60,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// readAhead reads on until it is interrupted, the caller leaves or the bound is
-// reached.
+// readAhead reads until it is interrupted, the caller disconnects or the buffer is full.
 func (c *conn) readAhead(done chan struct{}) {
 	defer close(done)
 	buf := make([]byte, readAheadSize)
@@ -73,7 +73,7 @@
 	}
 }
 
-// bufferReadAhead takes what was read ahead and reports whether to read on.
+// bufferReadAhead stores the result of a read and reports whether to continue reading.
 func (c *conn) bufferReadAhead(p []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +82,7 @@
 		return len(c.pipelined.bytes) < maxReadAhead
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		// What a caller asked for before it left is not wanted any more.
+		// The caller does not wait for the pipelined requests any more.
 		c.pipelined.err, c.pipelined.bytes = err, nil
 		if c.pipelined.onDisconnect != nil {
 			c.pipelined.onDisconnect(errDisconnected)
@@ -91,15 +91,15 @@
 	return false
 }
 
-// drainReadAhead ends the reading ahead and hands out what it brought; 0 and nil mean
-// that the connection is to be read.
+// drainReadAhead stops the reading ahead and copies buffered data to p. If it returns 0 and nil,
+// nothing is buffered and the connection must be read.
 func (c *conn) drainReadAhead(p []byte) (int, error) {
 	c.mu.Lock()
 	done := c.pipelined.done
 	c.pipelined.done = nil
 	c.mu.Unlock()
 	if done != nil {
-		// Both fail only on a closed connection, which the next read reports.
+		// Both calls fail only if the connection is closed, which the next read reports.
 		_ = c.Conn.SetReadDeadline(clock.Deadline(0))
 		<-done
 		c.mu.Lock()
--- a/callers/conns.go
+++ b/callers/conns.go
@@ -13,56 +13,54 @@
 	"github.com/weldfall/weldfall/common/sock"
 )
 
-// phase is what a caller did when it fell silent.
+// phase is the part of an exchange in which a caller timed out.
 type phase string
 
 const (
-	// phaseHeader and inBody are a request of which a part never came, inAnswer an
-	// answer that the caller does not take.
 	phaseHeader   phase = "head"
 	phaseBody     phase = "body"
 	phaseResponse phase = "answer"
 )
 
-// connKey is the key of a connection in the contexts of its requests.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// contextWithConn hands the connection to its requests.
+// contextWithConn implements http.Server.ConnContext.
 func contextWithConn(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// connFromContext returns the connection of a request, nil if it is not known.
+// connFromContext returns the connection of a request, or nil if ctx has none.
 func connFromContext(ctx context.Context) *conn {
 	c, _ := ctx.Value(connKey{}).(*conn)
 	return c
 }
 
-// OnDisconnect has left called once if the caller of a request leaves, or has left, until
-// done is called. The context is that of the request.
-func OnDisconnect(ctx context.Context, left func(cause error)) (done func()) {
+// OnDisconnect arranges for f to be called once when the caller of a request disconnects, or
+// at once if it already has. Calling stop cancels this. ctx is the context of the request.
+func OnDisconnect(ctx context.Context, f func(cause error)) (stop func()) {
 	c := connFromContext(ctx)
 	if c == nil {
 		return func() {}
 	}
-	c.setOnDisconnect(left)
+	c.setOnDisconnect(f)
 	return func() { c.setOnDisconnect(nil) }
 }
 
-// RecordBodyTimeout says that a part of the body of a request never came.
+// RecordBodyTimeout records that the body of a request did not arrive in time.
 func RecordBodyTimeout(ctx context.Context) {
 	if c := connFromContext(ctx); c != nil {
 		c.server.recordTimeout(c.RemoteAddr().String(), phaseBody)
 	}
 }
 
-// recordTimeout counts and logs a caller that fell silent.
-func (s *Server) recordTimeout(addr string, what phase) {
+// recordTimeout counts and logs a caller that stopped sending or reading.
+func (s *Server) recordTimeout(addr string, p phase) {
 	s.timeoutsTotal.Inc()
-	s.cfg.Log.Warn("connection_silent", "to", "caller", "state", what, "addr", addr)
+	s.cfg.Log.Warn("connection_silent", "to", "caller", "state", p, "addr", addr)
 }
 
-// track returns a connection that the server knows from now on.
+// track wraps a new connection and adds it to the server's connections.
 func (s *Server) track(nc net.Conn) *conn {
 	c := &conn{Conn: nc, server: s, since: s.cfg.Clock.Now()}
 	s.mu.Lock()
@@ -71,17 +69,17 @@
 	return c
 }
 
-// connStateChanged is the server's word on what a connection does.
-func (s *Server) connStateChanged(nc net.Conn, now http.ConnState) {
+// connStateChanged implements http.Server.ConnState.
+func (s *Server) connStateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch now {
+	switch state {
 	case http.StateActive:
-		// A request that came with the one before needs no further read.
+		// A pipelined request may already be buffered, so that no Read follows.
 		c.active, c.headerRead = true, true
 		c.cancelClose()
 	case http.StateIdle:
@@ -89,20 +87,20 @@
 	}
 }
 
-// closeExpired closes the connections that have rested for too long, and those whose head
-// has taken too long to arrive.
+// closeExpired closes connections that were idle for too long, and those whose request header
+// did not arrive in time.
 func (s *Server) closeExpired() {
-	idle, head := s.cfg.Timeouts()
+	idleTimeout, headerTimeout := s.cfg.Timeouts()
 	now := s.cfg.Clock.Now()
 	for _, c := range s.openConns() {
 		c.mu.Lock()
-		age, busy, headRead := now-c.since, c.active, c.headerRead
+		age, active, headerRead := now-c.since, c.active, c.headerRead
 		c.mu.Unlock()
 		switch {
-		case !busy && age > idle:
+		case !active && age > idleTimeout:
 			c.closeIfIdle()
-		case busy && !headRead && age > head:
-			// The caller sent half a head and stalled: it gets no answer.
+		case active && !headerRead && age > headerTimeout:
+			// A caller that sent only part of a header gets no response.
 			s.recordTimeout(c.RemoteAddr().String(), phaseHeader)
 			_ = c.Close()
 		}
@@ -119,8 +117,8 @@
 	return open
 }
 
-// CloseIdle closes the connections on which nothing is under way and returns
-// how many.
+// CloseIdle starts to close all connections without an active request and returns their
+// number.
 func (s *Server) CloseIdle() int {
 	n := 0
 	for _, c := range s.openConns() {
@@ -131,10 +129,10 @@
 	return n
 }
 
-// ActiveConns returns on how many connections a request is under way, or may be: it
-// is on its way to a new connection, or the reader of one that is to be closed has
-// not looked yet. The library writes the end of an answer after the handler has
-// returned, so that no handler runs does not say so.
+// ActiveConns returns the number of connections that have, or may have, a request in flight.
+// It includes new connections, whose first request may be arriving, and connections being
+// closed whose reader has not yet confirmed that nothing arrived. The number of running
+// handlers is not enough: net/http writes the end of a response after the handler returns.
 func (s *Server) ActiveConns() int {
 	n := 0
 	for _, c := range s.openConns() {
@@ -147,31 +145,30 @@
 	return n
 }
 
-// conn is a connection of a caller.
+// conn is a connection from a caller.
 type conn struct {
 	net.Conn
 	server *Server
 
 	mu sync.Mutex
-	// active is true from when a request is known to have come until its answer is
-	// out.
+	// active is set from the first byte of a request until its response is written.
 	active bool
-	// headerRead is true once the head of the request has been read.
+	// headerRead is set once the header of the current request has been read.
 	headerRead bool
-	// receivedRequest is true once a request has come.
+	// receivedRequest is set once the first request begins to arrive.
 	receivedRequest bool
-	// since is when the connection was opened or came to rest or, while it is
-	// busy, when the request's first byte came.
+	// since is when the connection was opened or last became idle. While the connection is
+	// active, it is when the first byte of the request arrived.
 	since clock.Millis
-	// closing is true while the connection is to be closed for being idle: its
-	// read is interrupted, and the reader closes it if nothing has come.
+	// closing is set while the connection is being closed because it is idle. Its pending
+	// read is interrupted, and the reader closes it if no data has arrived.
 	closing   bool
 	pipelined readAheadBuffer
 	framing   framingDetector
-	// resetOnClose is true while a request's handler has the connection end with a reset. Only
-	// the handler's goroutine uses it.
+	// resetOnClose is set while closing the connection sends a reset. It is used only by the
+	// goroutine of the request's handler.
 	resetOnClose bool
-	// lingerOnClose is true once an answer is out that the end of the connection ends.
+	// lingerOnClose is set once a response that ends with the connection is complete.
 	lingerOnClose atomic.Bool
 }
 
@@ -192,6 +189,7 @@
 	defer c.mu.Unlock()
 	c.framing.scan(p[:n])
 	c.markActive()
+	// A read of one byte is the one by which net/http detects a disconnect.
 	if len(p) == 1 && c.headerRead && c.pipelined.done == nil && c.pipelined.err == nil {
 		c.pipelined.done = make(chan struct{})
 		go c.readAhead(c.pipelined.done)
@@ -220,11 +218,11 @@
 	return c.Conn.Close()
 }
 
-// closeIfIdle has the connection closed unless a request is under way or has
-// come, and reports whether none is under way. The reader closes it, since only
-// it knows what it has read: closed from here, a starved process dropped requests
-// that it had read, or that its kernel held, 1 to 8 of them when 18 of 30 entries
-// were stopped.
+// closeIfIdle starts to close the connection and returns true, unless a request is in flight.
+// It interrupts the pending read, and the reader closes the connection if no data has arrived.
+// The connection must not be closed here, since only the reader knows whether a request has
+// arrived. When closeIfIdle closed it, overloaded processes dropped requests that they had read
+// or that were in the socket buffer: 1 to 8 requests when 18 of 30 entries were stopped.
 func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,20 +230,20 @@
 		return false
 	}
 	c.closing = true
-	// It fails only on a closed connection.
+	// Fails only if the connection is closed.
 	_ = c.Conn.SetReadDeadline(clock.Deadline(0))
 	return true
 }
 
-// awaitsFirstRequest reports whether the connection was opened so lately that its first request
-// may be on its way. Nobody has had the time to let it rest: with one round trip
-// between connection and request, a stopping process that looks each drainPeriod
-// reset one of five callers at 10 ms, and all from 50 ms on. The caller holds mu.
+// awaitsFirstRequest reports whether the connection is so new that its first request may still
+// be in transit. Such a connection must not be closed as idle: the request arrives one round
+// trip after the connection, so a stopping process that checked every drainPeriod reset one in
+// five callers at a round trip of 10 ms, and all of them from 50 ms on. c.mu must be held.
 func (c *conn) awaitsFirstRequest() bool {
 	return !c.receivedRequest && c.server.cfg.Clock.Now()-c.since < QuietPeriod
 }
 
-// cancelClose takes back that the connection is to be closed. The caller holds mu.
+// cancelClose keeps the connection open if it is being closed. c.mu must be held.
 func (c *conn) cancelClose() {
 	if c.closing {
 		c.closing = false
@@ -253,8 +251,8 @@
 	}
 }
 
-// receivedBeforeClose reports whether a read that was interrupted to close the connection
-// has something to read after all.
+// receivedBeforeClose reports whether data has arrived although the read was interrupted to
+// close the connection. In that case the connection is not closed.
 func (c *conn) receivedBeforeClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,7 +267,7 @@
 	return true
 }
 
-// markActive records that a request has markActive. The caller holds mu.
+// markActive records that data of a request has arrived. c.mu must be held.
 func (c *conn) markActive() {
 	c.cancelClose()
 	if !c.active {
--- a/callers/ending.go
+++ b/callers/ending.go
@@ -8,16 +8,17 @@
 	"github.com/weldfall/weldfall/common/framing"
 )
 
-// The header by which a handler has the library frame nothing and end the connection after
-// the answer. It is not sent.
+// With the header "Transfer-Encoding: identity", net/http sends the response without framing and
+// closes the connection after it. The header itself is not sent.
 const (
 	headerTransferEncoding = "Transfer-Encoding"
 	identity               = "identity"
 )
 
-// SetUntilClose has an answer end with its connection, as one does of which nobody says whether
-// it is complete. The head must not have been written yet. Until the handler returns the
-// connection ends with a reset, also if the process does.
+// SetUntilClose makes the end of the connection the end of the response, for a response whose
+// length is unknown. It must be called before the header is written. If the handler does not
+// return, for example because the process exits, the connection ends with a reset instead, so
+// that the caller does not take the response for complete.
 func SetUntilClose(w http.ResponseWriter, r *http.Request) {
 	h := w.Header()
 	h.Del("Content-Length")
@@ -25,9 +26,9 @@
 	connFromContext(r.Context()).resetUntilFinished()
 }
 
-// Abort ends the handler of a request in the middle of its answer, so that the caller
-// cannot take it for whole. Where only the end of the connection ends the answer, the
-// connection is reset.
+// Abort ends the handler of a request and closes the connection, so that the caller can tell that
+// the response is incomplete. If the response ends with the connection, the connection is reset.
+// Abort panics with http.ErrAbortHandler.
 func Abort(w http.ResponseWriter, r *http.Request) {
 	c := connFromContext(r.Context())
 	if ResponseFraming(w, r) == framing.UntilClose {
@@ -35,12 +36,12 @@
 	} else {
 		c.finishResponse(w, r)
 	}
-	// The library closes the connection.
+	// net/http closes the connection.
 	panic(http.ErrAbortHandler)
 }
 
-// ResponseFraming returns how the answer to a request is framed whose head is about to be written,
-// or was.
+// ResponseFraming returns the framing of the response to a request, as determined by the response
+// header and the protocol version.
 func ResponseFraming(w http.ResponseWriter, r *http.Request) framing.Framing {
 	h := w.Header()
 	switch {
@@ -52,8 +53,8 @@
 	return framing.Chunked
 }
 
-// resetUnfinished has h called so that an answer which only the end of the connection ends is told
-// from one that broke off, whatever ends the handler.
+// resetUnfinished wraps h so that the caller can distinguish a complete response that ends with
+// the connection from an aborted one, however the handler ends.
 func resetUnfinished(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := connFromContext(r.Context())
@@ -65,7 +66,7 @@
 	})
 }
 
-// resetUntilFinished has the connection end with a reset until the handler has returned.
+// resetUntilFinished makes closing the connection send a reset until finishResponse is called.
 func (c *conn) resetUntilFinished() {
 	if c == nil {
 		return
@@ -74,14 +75,14 @@
 	c.setLinger(0)
 }
 
-// finishResponse takes back that the connection ends with a reset.
+// finishResponse makes closing the connection send a FIN again.
 func (c *conn) finishResponse(w http.ResponseWriter, r *http.Request) {
 	if c == nil || !c.resetOnClose {
 		return
 	}
 	if w.Header().Get(headerTransferEncoding) == identity {
-		// What the library still holds must not be missing behind an orderly end. A
-		// caller that left needs none.
+		// Data that net/http still buffers must be sent before closing sends a FIN, which would
+		// hide that it is missing. Flush fails only if the caller disconnected.
 		_ = http.NewResponseController(w).Flush()
 	}
 	c.lingerOnClose.Store(ResponseFraming(w, r) == framing.UntilClose)
@@ -91,20 +92,22 @@
 
 func (c *conn) setLinger(sec int) {
 	if t, ok := c.Conn.(interface{ SetLinger(sec int) error }); ok {
-		// It fails only on a closed connection.
+		// Fails only if the connection is closed.
 		_ = t.SetLinger(sec)
 	}
 }
 
 const (
-	// lingerTimeout bounds the time in which a caller may take the end of an answer that ends
-	// with its connection, and lingerBytes what it may send meanwhile, in bytes.
+	// lingerTimeout is the longest time for which the server waits until the caller has read
+	// a response that ends with the connection. maxLingerBytes limits the data that is read
+	// and discarded meanwhile, in bytes.
 	lingerTimeout  clock.Millis = 500
 	maxLingerBytes              = 1 << 20
 )
 
-// closeLingering sends the end of the connection, and reads what still comes until the caller has
-// taken it: to close a connection with something unread resets it (RFC 9112, section 9.6).
+// closeLingering closes the write side of the connection, then discards incoming data until the
+// caller closes the connection. Closing it with unread data would send a reset, and the caller
+// could lose the end of the response (RFC 9112, section 9.6).
 func (c *conn) closeLingering() {
 	t, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || t.CloseWrite() != nil {
--- a/callers/lengths.go
+++ b/callers/lengths.go
@@ -5,52 +5,52 @@
 	"net/http"
 )
 
-// The library drops the Content-Length of a request that is chunked, so a handler cannot
-// tell that a request had both. RFC 9112, section 6.1, has the connection closed after the
-// answer to such a request: an intermediary that went by the other length would take what
-// follows for a request of its own.
+// For a chunked request, net/http removes Content-Length, so a handler cannot tell that the
+// request had both. RFC 9112, section 6.1, requires that the connection is closed after the
+// response to such a request. An intermediary that used the other length would take the data
+// after it for another request (request smuggling).
 //
-// It drops the chunks of a request of HTTP/1.0, too, and hands it on as one without a body,
-// where the same section has the framing as faulty.
+// For a chunked request of HTTP/1.0, net/http drops the body and passes the request on without
+// one. According to the same section the framing of such a request is faulty.
 
-// Lines of a head that frame its body, from the end of the line before.
+// Beginnings of the header lines that define the length of a body, with the end of the
+// preceding line.
 const (
 	contentLengthLine    = "\ncontent-length"
 	transferEncodingLine = "\ntransfer-encoding"
 )
 
-// framingDetector notices how the heads on a connection framed their bodies. Which of several
-// requests it was is not known, since the library may have read ahead, and a line of a body
-// may look like one: either costs a request its connection.
+// framingDetector detects which framing header fields occurred on a connection. It cannot tell
+// which of several requests had them, since net/http may have read ahead, and a line of a body
+// may look like a header field. In both cases a valid request can lose its connection.
 type framingDetector struct{ contentLength, transferEncoding fieldDetector }
 
-// scan takes what the library is handed.
-func (l *framingDetector) scan(p []byte) {
-	l.contentLength.scan(contentLengthLine, p)
-	l.transferEncoding.scan(transferEncodingLine, p)
+// scan processes data that net/http reads from the connection.
+func (d *framingDetector) scan(p []byte) {
+	d.contentLength.scan(contentLengthLine, p)
+	d.transferEncoding.scan(transferEncodingLine, p)
 }
 
-// fieldDetector notices whether a line begins with the name of a field.
+// fieldDetector detects a line that begins with the name of a header field.
 type fieldDetector struct {
-	// tail has the end of what was read, in which a line may have begun.
-	tail []byte
-	// found is true once the field was found.
+	// tail is the end of the previous data, which may be the beginning of such a line.
+	tail  []byte
 	found bool
 }
 
-func (m *fieldDetector) scan(field string, p []byte) {
-	most := len(field) - 1
-	across := append(m.tail, p[:min(len(p), most)]...)
-	if m.found = m.found || hasFieldLine(across, field) || hasFieldLine(p, field); m.found {
+func (d *fieldDetector) scan(field string, p []byte) {
+	overlap := len(field) - 1
+	joined := append(d.tail, p[:min(len(p), overlap)]...)
+	if d.found = d.found || hasFieldLine(joined, field) || hasFieldLine(p, field); d.found {
 		return
 	}
-	if len(p) >= most {
-		across = p
+	if len(p) >= overlap {
+		joined = p
 	}
-	m.tail = append(m.tail[:0], across[max(0, len(across)-most):]...)
+	d.tail = append(d.tail[:0], joined[max(0, len(joined)-overlap):]...)
 }
 
-// hasFieldLine reports whether a line of a text begins with the name of a field.
+// hasFieldLine reports whether a line of text begins with the name of a field.
 func hasFieldLine(text []byte, field string) bool {
 	for {
 		i := bytes.IndexByte(text, '\n')
@@ -64,26 +64,26 @@
 	}
 }
 
-// checkFraming has h called unless the request is of HTTP/1.0 and has chunks, and with the
-// connection to be closed after the answer if the request may have both lengths.
+// checkFraming wraps h to reject chunked requests of HTTP/1.0, and to close the connection after
+// a request that may have both Content-Length and Transfer-Encoding.
 func checkFraming(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		length, coding := connFromContext(r.Context()).framingFields()
-		if coding && r.ContentLength == 0 && !r.ProtoAtLeast(1, 1) {
+		contentLength, transferEncoding := connFromContext(r.Context()).framingFields()
+		if transferEncoding && r.ContentLength == 0 && !r.ProtoAtLeast(1, 1) {
 			w.Header().Set("Connection", "close")
-			http.Error(w, "HTTP/1.0 has no transfer codings", http.StatusBadRequest)
+			http.Error(w, "HTTP/1.0 does not support Transfer-Encoding", http.StatusBadRequest)
 			return
 		}
-		if length && len(r.TransferEncoding) > 0 {
+		if contentLength && len(r.TransferEncoding) > 0 {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// framingFields reports whether a request on the connection may have framingFields its length, or a
-// transfer coding.
-func (c *conn) framingFields() (length, coding bool) {
+// framingFields reports whether a request on the connection may have had Content-Length, or
+// Transfer-Encoding.
+func (c *conn) framingFields() (contentLength, transferEncoding bool) {
 	if c == nil {
 		return false, false
 	}
--- a/callers/lengths_test.go
+++ b/callers/lengths_test.go
@@ -17,18 +17,18 @@
 	length  = "POST /sized HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
 )
 
-// Guards against smuggled requests: what follows a request with both lengths on its
-// connection may be a part of it to whoever stands in front.
-func TestARequestWithBothLengthsEndsItsConnection(t *testing.T) {
+// Guards against request smuggling: data that follows a request with both Content-Length and
+// Transfer-Encoding may belong to that request in the view of an intermediary.
+func TestRequestWithBothLengthsClosesConnection(t *testing.T) {
 	t.Parallel()
 	both := fmt.Sprintf(chunked, "both", "cONTENT-lENGTH: 3\r\n")
-	first := "POST /both HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
+	lengthFirst := "POST /both HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for name, text := range map[string]string{
-		"at once": both, "with the next request": both + request, "the length first": first,
-		"after others": request + length + both, "after a chunked one": fmt.Sprintf(chunked, "one", "") + both + length,
+		"alone": both, "with the next request": both + request, "length first": lengthFirst,
+		"after other requests": request + length + both, "after a chunked request": fmt.Sprintf(chunked, "one", "") + both + length,
 	} {
 		for _, piece := range []int{1, 7, 4096} {
-			t.Run(fmt.Sprintf("%s, %d bytes a time", name, piece), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d bytes per write", name, piece), func(t *testing.T) {
 				t.Parallel()
 				var after atomic.Bool
 				s := serve(t, 60_000, 60_000, func(w http.ResponseWriter, r *http.Request) {
@@ -51,12 +51,12 @@
 				if err := nc.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 					t.Fatal(err)
 				}
-				// A close under what is still sent is a reset.
+				// Closing the connection while data is being sent causes a reset.
 				if _, err := io.ReadAll(r); errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("got %v, want the end of the connection", err)
+					t.Errorf("got %v, want the connection closed", err)
 				}
-				// A length that came with a chunked request may be its own.
-				if !after.Load() && name != "after a chunked one" {
+				// The request before is chunked, so a detected length may be attributed to it.
+				if !after.Load() && name != "after a chunked request" {
 					t.Error("got no request with both lengths, want one")
 				}
 			})
@@ -64,21 +64,21 @@
 	}
 }
 
-// A request of either length keeps its connection.
-func TestARequestWithOneLengthKeepsItsConnection(t *testing.T) {
+// Checks that a request with only one kind of length keeps its connection open.
+func TestRequestWithOneLengthKeepsConnection(t *testing.T) {
 	t.Parallel()
 	s := serve(t, 60_000, 60_000, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 	nc, r := s.dial()
 	for i, text := range []string{fmt.Sprintf(chunked, "one", ""), fmt.Sprintf(chunked, "two", ""), request, length, length, request} {
 		send(t, nc, text)
-		if !answeredAndKept(r) {
-			t.Fatalf("request %d: got the end of the connection, want it kept", i)
+		if !keepsConn(r) {
+			t.Fatalf("request %d: got the connection closed, want it kept open", i)
 		}
 	}
 }
 
-// answeredAndKept reads an answer and reports whether its connection is kept.
-func answeredAndKept(r *bufio.Reader) bool {
+// keepsConn reads a response and reports whether the connection stays open after it.
+func keepsConn(r *bufio.Reader) bool {
 	res, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return false
--- a/callers/server.go
+++ b/callers/server.go
@@ -1,6 +1,6 @@
-// Package callers is the side of a process that its callers see: the server, their
-// connections, and how these end when the process stops. A connection is closed only
-// while nothing of a request is on its way, and a caller who leaves is noticed at once.
+// Package callers implements the HTTP server that callers connect to, and the management of
+// their connections. A connection is closed only while no request is in flight on it, also when
+// the process stops. A disconnect of a caller is detected at once.
 package callers
 
 import (
@@ -19,32 +19,32 @@
 )
 
 const (
-	// sweepPeriod is how often the connections are looked through.
+	// sweepPeriod is the interval between checks of the connections for timeouts.
 	sweepPeriod clock.Millis = 1000
-	// drainPeriod is how often a stopping process looks whether it may end.
+	// drainPeriod is the interval between checks whether a stopping process may exit.
 	drainPeriod clock.Millis = 50
-	// QuietPeriod is how long nothing must have been taken before a stopping process ends,
-	// once it has closed its idle connections: a few round trips to callers.
+	// QuietPeriod is how long a stopping process must have received no request before it
+	// exits: a few round trips to callers after it closed its idle connections.
 	QuietPeriod clock.Millis = 300
 )
 
 // Config sets up a Server.
 type Config struct {
 	Handler http.Handler
-	// MaxHeaderBytes bounds the head of a request, in bytes.
+	// MaxHeaderBytes limits the size of a request header.
 	MaxHeaderBytes int
-	// Timeouts returns how long a connection may rest, and how long a head may take.
-	Timeouts func() (idle, head clock.Millis)
-	// Link is that of the process, nil if nothing is known of it.
+	// Timeouts returns the longest time a connection may be idle, and the longest time a
+	// request header may take to arrive.
+	Timeouts func() (idle, header clock.Millis)
+	// Link is the downlink of the process, or nil if its rate is unknown.
 	Link  *downlink.Downlink
 	Clock *clock.Clock
 	Log   *slog.Logger
 }
 
-// Server serves callers, and knows their connections, so that a stopping process can
-// close those on which nothing is under way. The library's own way to do so closes a
-// connection whose next request has been read but not yet begun. It is safe for
-// concurrent use.
+// Server is an HTTP server that tracks its connections, so that a stopping process can close
+// the idle ones. http.Server.Shutdown is not used for this, since it closes connections whose
+// next request has been read but not yet started. Server is safe for concurrent use.
 type Server struct {
 	cfg           Config
 	http          *http.Server
@@ -52,11 +52,11 @@
 
 	mu    sync.Mutex
 	conns map[*conn]bool
-	// closing is true once the server is closed with what is still open.
+	// closing is set by Close.
 	closing bool
 }
 
-// New returns a server that does not yet serve.
+// New returns a server that is not yet serving.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, conns: map[*conn]bool{}, timeoutsTotal: metrics.GetOrCreateCounter(`weldfall_silent_connections_total{to="caller"}`)}
 	s.http = &http.Server{
@@ -66,7 +66,7 @@
 	return s
 }
 
-// Serve serves callers on ln until Close.
+// Serve accepts connections on ln until Close is called, and then returns nil.
 func (s *Server) Serve(ln net.Listener) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -77,12 +77,13 @@
 	return nil
 }
 
-// Drain closes idle connections until nothing is under way, or the time is end. Busy
-// reports whether requests are served, and tookAt when one was last taken.
-func (s *Server) Drain(end clock.Millis, busy func() bool, tookAt func() clock.Millis) {
-	began := s.cfg.Clock.Now()
-	for s.cfg.Clock.Now() < end {
-		quiet := s.cfg.Clock.Now() - max(began, tookAt())
+// Drain closes idle connections until no request is in flight and none has arrived for
+// QuietPeriod, or until the deadline. busy reports whether requests are being handled, and
+// lastRequestAt returns when the latest one arrived.
+func (s *Server) Drain(deadline clock.Millis, busy func() bool, lastRequestAt func() clock.Millis) {
+	start := s.cfg.Clock.Now()
+	for s.cfg.Clock.Now() < deadline {
+		quiet := s.cfg.Clock.Now() - max(start, lastRequestAt())
 		if !busy() && s.ActiveConns() == 0 && quiet >= QuietPeriod {
 			return
 		}
@@ -91,7 +92,7 @@
 	}
 }
 
-// Close closes the server with whatever is still open.
+// Close closes the server and all open connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closing = true
@@ -99,7 +100,7 @@
 	_ = s.http.Close()
 }
 
-// listener hands out connections that the server knows.
+// listener wraps accepted connections so that the server tracks them.
 type listener struct {
 	net.Listener
 	s *Server
--- a/callers/server_test.go
+++ b/callers/server_test.go
@@ -18,43 +18,43 @@
 
 const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// served is a server on loopback.
-type served struct {
+// testServer is a server on the loopback interface.
+type testServer struct {
 	t    *testing.T
 	clk  *clock.Clock
 	srv  *callers.Server
 	addr string
-	// ended is closed when Serve has returned.
-	ended chan struct{}
+	// done is closed when Serve returns.
+	done chan struct{}
 }
 
-// serve starts a server whose connections rest, and whose heads take, so long at most.
-func serve(t *testing.T, idle, head clock.Millis, h http.HandlerFunc) *served {
+// serve starts a server with the given timeouts of idle connections and request headers.
+func serve(t *testing.T, idle, header clock.Millis, h http.HandlerFunc) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &served{t: t, clk: clock.System(), addr: ln.Addr().String(), ended: make(chan struct{})}
+	s := &testServer{t: t, clk: clock.System(), addr: ln.Addr().String(), done: make(chan struct{})}
 	s.srv = callers.New(callers.Config{
 		Handler: h, MaxHeaderBytes: 4096, Clock: s.clk, Log: slog.New(slog.DiscardHandler),
-		Timeouts: func() (clock.Millis, clock.Millis) { return idle, head },
+		Timeouts: func() (clock.Millis, clock.Millis) { return idle, header },
 	})
 	go func() {
-		defer close(s.ended)
+		defer close(s.done)
 		if err := s.srv.Serve(ln); err != nil {
 			t.Errorf("serve: %v", err)
 		}
 	}()
 	t.Cleanup(func() {
 		s.srv.Close()
-		<-s.ended
+		<-s.done
 	})
 	return s
 }
 
-// dial returns a connection, and what reads from it.
-func (s *served) dial() (net.Conn, *bufio.Reader) {
+// dial returns a connection to the server and a reader for it.
+func (s *testServer) dial() (net.Conn, *bufio.Reader) {
 	s.t.Helper()
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// answered reads an answer and reports whether there is one.
-func answered(r *bufio.Reader) bool {
+// readResponse reads a response and reports whether it is complete.
+func readResponse(r *bufio.Reader) bool {
 	res, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return false
@@ -83,44 +83,44 @@
 
 func ok(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
-// Closing what rests leaves alone what a request is arriving on.
-func TestOnlyConnectionsThatRestAreClosed(t *testing.T) {
+// Checks that CloseIdle keeps connections on which a request is arriving.
+func TestCloseIdle(t *testing.T) {
 	s := serve(t, 60_000, 60_000, ok)
-	resting, restingReader := s.dial()
+	idle, idleReader := s.dial()
 	arriving, arrivingReader := s.dial()
-	fresh, freshReader := s.dial()
-	for nc, r := range map[net.Conn]*bufio.Reader{resting: restingReader, arriving: arrivingReader} {
+	unused, unusedReader := s.dial()
+	for nc, r := range map[net.Conn]*bufio.Reader{idle: idleReader, arriving: arrivingReader} {
 		send(t, nc, request)
-		if !answered(r) {
-			t.Fatal("got no answer to a first request")
+		if !readResponse(r) {
+			t.Fatal("got no response to a first request")
 		}
 	}
 	send(t, arriving, request[:5])
 	time.Sleep(50 * time.Millisecond)
 	if got := s.srv.CloseIdle(); got != 1 {
-		t.Errorf("got %d connections closed, want the one that rests", got)
+		t.Errorf("got %d connections closed, want only the idle one", got)
 	}
 	send(t, arriving, request[5:])
-	send(t, fresh, request)
-	if !answered(arrivingReader) || !answered(freshReader) {
-		t.Error("got no answer on a connection on which a request was arriving")
+	send(t, unused, request)
+	if !readResponse(arrivingReader) || !readResponse(unusedReader) {
+		t.Error("got no response on a connection on which a request was arriving")
 	}
-	if _, err := restingReader.ReadByte(); err != io.EOF {
-		t.Errorf("got %v on the connection that rested, want its end", err)
+	if _, err := idleReader.ReadByte(); err != io.EOF {
+		t.Errorf("got %v on the idle connection, want EOF", err)
 	}
 }
 
-// A stopping server waits for what is under way, and no longer than it may.
-func TestDrainWaitsForWhatIsUnderWay(t *testing.T) {
+// Checks that Drain waits for requests in flight, but not beyond its deadline.
+func TestDrain(t *testing.T) {
 	for name, tc := range map[string]struct {
-		most clock.Millis
-		want bool
+		limit clock.Millis
+		want  bool
 	}{
-		"an answer that ends in time": {60_000, true},
-		"one that does not":           {100, false},
+		"response in time":  {60_000, true},
+		"response too late": {100, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var active, tookAt atomic.Int64
+			var active, lastRequestAt atomic.Int64
 			release := make(chan struct{})
 			s := serve(t, 60_000, 60_000, func(w http.ResponseWriter, _ *http.Request) {
 				active.Add(1)
@@ -138,54 +138,54 @@
 			} else {
 				defer close(release)
 			}
-			end := s.clk.Now() + tc.most
-			s.srv.Drain(end, func() bool { return active.Load() > 0 }, func() clock.Millis { return clock.Millis(tookAt.Load()) })
+			deadline := s.clk.Now() + tc.limit
+			s.srv.Drain(deadline, func() bool { return active.Load() > 0 }, func() clock.Millis { return clock.Millis(lastRequestAt.Load()) })
 			s.srv.Close()
-			if got := answered(r); got != tc.want {
-				t.Errorf("got an answer %v, want %v", got, tc.want)
+			if got := readResponse(r); got != tc.want {
+				t.Errorf("got a response %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// What rests for too long, and a head that does not come, ends by itself.
-func TestConnectionsEndByThemselves(t *testing.T) {
-	for name, text := range map[string]string{"nothing came": "", "half a head": request[:10]} {
+// Checks that idle connections and incomplete request headers time out.
+func TestConnectionTimeouts(t *testing.T) {
+	for name, text := range map[string]string{"no data": "", "incomplete header": request[:10]} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := serve(t, 100, 100, ok)
 			nc, r := s.dial()
 			send(t, nc, text)
 			if _, err := r.ReadByte(); err == nil {
-				t.Error("got a byte, want the end of the connection")
+				t.Error("got a byte, want the connection closed")
 			}
 		})
 	}
 }
 
-// Who leaves is noticed while the request is served, also behind the beginning of the
-// next one.
-func TestACallerWhoLeavesIsNoticed(t *testing.T) {
-	for name, more := range map[string]string{"nothing behind the request": "", "the next behind it": request + strings.Repeat("x", 100)} {
+// Checks that a disconnect is detected while the request is handled, even if the caller has sent
+// part of another request.
+func TestOnDisconnect(t *testing.T) {
+	for name, more := range map[string]string{"one request": "", "pipelined request": request + strings.Repeat("x", 100)} {
 		t.Run(name, func(t *testing.T) {
-			left := make(chan struct{})
-			begun := make(chan struct{}, 2)
+			disconnected := make(chan struct{})
+			started := make(chan struct{}, 2)
 			s := serve(t, 60_000, 60_000, func(_ http.ResponseWriter, r *http.Request) {
 				ctx, cancel := context.WithCancelCause(r.Context())
 				defer callers.OnDisconnect(ctx, cancel)()
-				begun <- struct{}{}
+				started <- struct{}{}
 				<-ctx.Done()
-				close(left)
+				close(disconnected)
 				panic(http.ErrAbortHandler)
 			})
 			nc, _ := s.dial()
 			send(t, nc, request+more)
-			<-begun
+			<-started
 			_ = nc.Close()
 			select {
-			case <-left:
+			case <-disconnected:
 			case <-time.After(20 * time.Second):
-				t.Error("got no word of a caller who left")
+				t.Error("got no call after the caller disconnected")
 			}
 		})
 	}
--- a/callers/until_close_test.go
+++ b/callers/until_close_test.go
@@ -10,17 +10,17 @@
 	"github.com/weldfall/weldfall/callers"
 )
 
-// A whole answer that ends with its connection ended with a reset, as one that broke off,
-// where the caller had sent more than was read ahead.
-func TestAWholeAnswerUntilCloseEndsInOrderThoughMoreWasSent(t *testing.T) {
+// Guards against a complete response that ends with its connection and yet ends with a reset, as
+// if it were aborted. This happens if the caller has sent more than the server reads ahead.
+func TestUntilCloseResponseEndsWithFINDespiteUnreadData(t *testing.T) {
 	for name, proto := range map[string]string{"HTTP/1.1": "1.1", "HTTP/1.0": "1.0"} {
 		t.Run(name, func(t *testing.T) {
-			goOn := make(chan struct{})
+			proceed := make(chan struct{})
 			s := serve(t, 60_000, 60_000, func(w http.ResponseWriter, r *http.Request) {
 				callers.SetUntilClose(w, r)
 				_, _ = io.WriteString(w, "part")
 				_ = http.NewResponseController(w).Flush()
-				<-goOn
+				<-proceed
 				_, _ = io.WriteString(w, "rest")
 			})
 			nc, r := s.dial()
@@ -33,17 +33,17 @@
 				_, _ = io.WriteString(nc, "POST /next HTTP/1.1\r\nHost: x\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 300_000))
 			}()
 			time.Sleep(300 * time.Millisecond)
-			close(goOn)
+			close(proceed)
 			body, err := io.ReadAll(res.Body)
 			if err != nil || string(body) != "partrest" {
-				t.Errorf("got %q and %v, want the whole answer and its orderly end", body, err)
+				t.Errorf("got %q and %v, want the complete response and EOF", body, err)
 			}
 		})
 	}
 }
 
-// A request of HTTP/1.0 was refused because the body of one before it on its connection spoke
-// of transfer codings.
+// Guards against a valid request of HTTP/1.0 that is rejected because the body of an earlier
+// request on the connection has a line that begins with "Transfer-Encoding".
 func TestARequestOfHTTP10IsNotRefusedForABodyBeforeIt(t *testing.T) {
 	s := serve(t, 60_000, 60_000, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -62,7 +62,7 @@
 			t.Errorf("request %d: got status %d, want 200", i, res.StatusCode)
 		}
 		if i == 0 && res.Close {
-			t.Skip("not kept")
+			t.Skip("connection not kept open")
 		}
 		if i == 0 {
 			send(t, nc, "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n")
@@ -70,9 +70,9 @@
 	}
 }
 
-// A reply that only the end of its connection ends, and that the end of the process cuts,
-// ended as a whole one does.
-func TestAnAnswerUntilCloseThatTheEndOfTheServerCutsIsToldAsBrokenOff(t *testing.T) {
+// Guards against a response that ends with its connection and looks complete although Close
+// interrupted it.
+func TestCloseAbortsUntilCloseResponse(t *testing.T) {
 	for name, proto := range map[string]string{"HTTP/1.1": "1.1", "HTTP/1.0": "1.0"} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
@@ -92,7 +92,7 @@
 			s.srv.Close()
 			body, err := io.ReadAll(res.Body)
 			if err == nil {
-				t.Errorf("got %q and an orderly end, want one that tells that the answer broke off", body)
+				t.Errorf("got %q and EOF, want an error", body)
 			}
 		})
 	}
