--- a/entry/send.go
+++ b/entry/send.go
@@ -101,11 +101,11 @@
 	clk *clock.Clock
 }
 
-// Frames implements offer.Answer.
-func (a answer) Frames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
+// WriteFrames implements offer.ResponseWriter.
+func (a answer) WriteFrames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
 
-// Begun implements offer.Answer.
-func (a answer) Begun() bool { return a.c.headSent }
+// Started implements offer.ResponseWriter.
+func (a answer) Started() bool { return a.c.headSent }
 
 // isFault tells refusals that retries could multiply from the ordinary steps
 // of finding the right engine.
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -197,16 +197,16 @@
 	return n.view.MajorityReachable()
 }
 
-// Unreachable records that a call to a daemon failed.
-func (n *Node) Unreachable(id string) {
+// DaemonUnreachable records that a call to a daemon failed.
+func (n *Node) DaemonUnreachable(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.MarkUnreachable(id, n.clk.Now())
 	n.invalidateTargets()
 }
 
-// Reached records that a call to a daemon succeeded.
-func (n *Node) Reached(id string) {
+// DaemonReached records that a call to a daemon succeeded.
+func (n *Node) DaemonReached(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.MarkReached(id)
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -28,13 +28,13 @@
 )
 
 // discardRest reads the rest of a response, so that its connection can be reused.
-func discardRest(a *upstream.Answer) {
+func discardRest(a *upstream.Response) {
 	// If the rest cannot be read, the connection is closed.
 	_, _ = io.CopyN(io.Discard, a, discardLimit)
 }
 
 // relay passes the response of an engine on to the caller.
-func (g *Gate) relay(ctx context.Context, c *call, e engines.Info, a *upstream.Answer) attempt.Outcome {
+func (g *Gate) relay(ctx context.Context, c *call, e engines.Info, a *upstream.Response) attempt.Outcome {
 	x := exchange{g, c, e.Incarnation()}
 	o := c.reply.Relay(ctx, x, a.Response, a)
 	if a, ok := o.(attempt.Answered); ok && a.End == framing.Complete {
