--- a/commands/account.go
+++ b/commands/account.go
@@ -24,7 +24,7 @@
 			return err
 		}
 	}
-	return a.Write(out, c.Step)
+	return a.WriteReport(out, c.Step)
 }
 
 func readLog(a *account.Account, path string) error {
@@ -34,7 +34,7 @@
 	}
 	// The file was only read.
 	defer func() { _ = f.Close() }()
-	if err := a.Read(f); err != nil {
+	if err := a.ReadLog(f); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
--- a/entry/account.go
+++ b/entry/account.go
@@ -59,8 +59,8 @@
 		if c.tokens > 1 {
 			ev.BetweenTokensMS = float64(c.lastMicros-c.firstMicros) / 1000 / float64(c.tokens-1)
 		}
-		ev.InTime = ev.FirstTokenMS <= float64(o.FirstTokenMS) && ev.BetweenTokensMS <= float64(o.BetweenTokensMS)
-		ev.Timed = c.chat.WantsStream()
+		ev.LatencyMet = ev.FirstTokenMS <= float64(o.FirstTokenMS) && ev.BetweenTokensMS <= float64(o.BetweenTokensMS)
+		ev.Streamed = c.chat.WantsStream()
 	}
 	e.burn.Observe(ev, burn.Targets{Latency: o.LatencyTarget, Whole: o.WholeTarget, Served: o.ServedTarget}, e.clk.Now())
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -95,14 +95,14 @@
 func (b *burnRecorder) Observe(ev burn.Event, t burn.Targets, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.r.Observe(ev, t, now)
+	b.r.RecordEvent(ev, t, now)
 }
 
 // Turn counts a returning chat turn.
 func (b *burnRecorder) Turn(partner string, prompt, cached int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.r.Turn(partner, prompt, cached)
+	b.r.RecordTurn(partner, prompt, cached)
 }
 
 // New returns an entry that is not yet running.
--- a/report/account/account.go
+++ b/report/account/account.go
@@ -30,41 +30,41 @@
 	Refused Outcome = "refused"
 	// Denied requests are wrong or not allowed by the settings in force.
 	Denied Outcome = "denied"
-	// Cut answers were broken off after they had begun.
-	Cut Outcome = "cut"
-	// Left requests are those whose caller left first.
-	Left Outcome = "caller left"
+	// Aborted answers were broken off after they had begun.
+	Aborted Outcome = "cut"
+	// CallerDisconnected requests are those whose caller left first.
+	CallerDisconnected Outcome = "caller left"
 )
 
 // outcomes in the order of the report.
-var outcomes = []Outcome{InTime, Late, Failed, Refused, Cut, Left, Denied}
+var outcomes = []Outcome{InTime, Late, Failed, Refused, Aborted, CallerDisconnected, Denied}
 
 // Cause is why a request was not answered in time.
 type Cause string
 
 const (
 	NoCause Cause = ""
-	// EngineBroke is an engine that ended the connection in mid-exchange.
-	EngineBroke Cause = "engine broke off"
-	// EngineEnded is an engine that ended while it had the request.
-	EngineEnded Cause = "engine ended"
+	// EngineBroken is an engine that ended the connection in mid-exchange.
+	EngineBroken Cause = "engine broke off"
+	// EngineCrashed is an engine that ended while it had the request.
+	EngineCrashed Cause = "engine ended"
 	// EngineFailed is an engine that answered with a failure of its own.
 	EngineFailed Cause = "engine's own failure"
-	// EngineDark is an engine that took no connection or fell silent.
-	EngineDark Cause = "engine dark"
+	// EngineUnresponsive is an engine that took no connection or fell silent.
+	EngineUnresponsive Cause = "engine dark"
 	// EngineFull is an engine that refused, after which others were asked.
 	EngineFull Cause = "engine full"
-	// Cold is a prompt that the engine had to read.
-	Cold Cause = "cold prompt"
-	// Moved is a prompt that the engine took from another.
-	Moved Cause = "prompt moved"
-	// Behind is a request whose prompt the engine keeps: what held it up are
+	// PromptNotCached is a prompt that the engine had to read.
+	PromptNotCached Cause = "cold prompt"
+	// PromptFetched is a prompt that the engine took from another.
+	PromptFetched Cause = "prompt moved"
+	// Contention is a request whose prompt the engine keeps: what held it up are
 	// the prompts and requests beside it.
-	Behind Cause = "behind other requests"
-	// Paused is a stream with too long a pause after it had begun.
-	Paused Cause = "pause in the stream"
-	// NoTime is a deadline that passed.
-	NoTime Cause = "no time"
+	Contention Cause = "behind other requests"
+	// StreamPaused is a stream with too long a pause after it had begun.
+	StreamPaused Cause = "pause in the stream"
+	// DeadlineExceeded is a deadline that passed.
+	DeadlineExceeded Cause = "no time"
 )
 
 // request is what is known of one request from its lines.
@@ -105,9 +105,9 @@
 // longestLine bounds a log line, in bytes.
 const longestLine = 64 << 10
 
-// Read takes the log of one process. Lines that are not key=value are counted
+// ReadLog takes the log of one process. Lines that are not key=value are counted
 // and passed over.
-func (a *Account) Read(r io.Reader) error {
+func (a *Account) ReadLog(r io.Reader) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, longestLine)
 	for s.Scan() {
@@ -145,7 +145,7 @@
 	case "attempt_ended":
 		a.attempts[id] = causeOfAttempt(f["outcome"])
 		if a.ended[id] {
-			a.attempts[id] = EngineEnded
+			a.attempts[id] = EngineCrashed
 			delete(a.ended, id)
 		}
 		a.repeated(f)
@@ -181,7 +181,7 @@
 	switch r.Outcome {
 	case Late:
 		r.Cause = causeOfLate(f, before)
-	case Failed, Refused, Cut:
+	case Failed, Refused, Aborted:
 		r.Cause = causeOfFailure(f, before)
 	}
 	a.requests = append(a.requests, r)
@@ -193,9 +193,9 @@
 	status, _ := strconv.Atoi(f["status"])
 	switch {
 	case f["reason"] == "caller_gone":
-		return Left
+		return CallerDisconnected
 	case f["cut"] == "true":
-		return Cut
+		return Aborted
 	case f["msg"] == "failed" && status >= 400 && status < 500:
 		return Denied
 	case f["verdict"] == "not_run":
@@ -216,9 +216,9 @@
 	case "refused":
 		return EngineFull
 	case "unsent", "silent":
-		return EngineDark
+		return EngineUnresponsive
 	}
-	return EngineBroke
+	return EngineBroken
 }
 
 // causeOfLate tells what held an answer up.
@@ -227,13 +227,13 @@
 	case before != NoCause:
 		return before
 	case f["late"] == "pause":
-		return Paused
+		return StreamPaused
 	case f["fetched"] == "true":
-		return Moved
+		return PromptFetched
 	case f["kept"] == "false" && f["how"] != "load":
-		return Cold
+		return PromptNotCached
 	}
-	return Behind
+	return Contention
 }
 
 // causeOfFailure tells why there is no answer: what the last engine did, or
@@ -241,7 +241,7 @@
 func causeOfFailure(f map[string]string, before Cause) Cause {
 	switch reason := f["reason"]; {
 	case reason == "deadline":
-		return NoTime
+		return DeadlineExceeded
 	case before != NoCause:
 		return before
 	case reason != "":
--- a/report/account/account_test.go
+++ b/report/account/account_test.go
@@ -19,12 +19,12 @@
 	t.Helper()
 	a := account.New()
 	for _, l := range logs {
-		if err := a.Read(strings.NewReader(l)); err != nil {
+		if err := a.ReadLog(strings.NewReader(l)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var b bytes.Buffer
-	if err := a.Write(&b, time.Second); err != nil {
+	if err := a.WriteReport(&b, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	return b.String()
@@ -113,8 +113,8 @@
 	if want := "d1     2              1           0          00:00:01.700  00:00:01.800"; !strings.Contains(out, want) {
 		t.Errorf("got no %q in:\n%s", want, out)
 	}
-	if strings.Contains(out, string(account.EngineEnded)) || !strings.Contains(out, string(account.EngineBroke)) {
-		t.Errorf("got the cause %q, want %q alone in:\n%s", account.EngineEnded, account.EngineBroke, out)
+	if strings.Contains(out, string(account.EngineCrashed)) || !strings.Contains(out, string(account.EngineBroken)) {
+		t.Errorf("got the cause %q, want %q alone in:\n%s", account.EngineCrashed, account.EngineBroken, out)
 	}
 }
 
@@ -135,13 +135,13 @@
 
 func TestLogsWithoutRequestsAreAnError(t *testing.T) {
 	a := account.New()
-	if err := a.Read(strings.NewReader("=\n")); err != nil {
+	if err := a.ReadLog(strings.NewReader("=\n")); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Write(&bytes.Buffer{}, time.Second); err == nil || !strings.Contains(err.Error(), "1 lines were passed over") {
+	if err := a.WriteReport(&bytes.Buffer{}, time.Second); err == nil || !strings.Contains(err.Error(), "1 lines were passed over") {
 		t.Errorf("got %v, want an error that says that no request was found", err)
 	}
-	if err := a.Read(strings.NewReader(strings.Repeat("x", 100<<10))); err == nil || !strings.Contains(err.Error(), "longer than") {
+	if err := a.ReadLog(strings.NewReader(strings.Repeat("x", 100<<10))); err == nil || !strings.Contains(err.Error(), "longer than") {
 		t.Errorf("got %v for an endless line, want an error that says so", err)
 	}
 }
--- a/report/account/report.go
+++ b/report/account/report.go
@@ -26,7 +26,7 @@
 }
 
 // lost is how many of the group were owed an answer and had none in time.
-func (g *group) lost() int { return g.all - g.n[InTime] - g.n[Left] - g.n[Denied] }
+func (g *group) lost() int { return g.all - g.n[InTime] - g.n[CallerDisconnected] - g.n[Denied] }
 
 // groupBy counts requests by a name, in order of the names.
 func groupBy(requests []request, name func(request) string) []*group {
@@ -47,9 +47,9 @@
 	return out
 }
 
-// Write prints the account: by kind of request, by cause with its share of all
+// WriteReport prints the account: by kind of request, by cause with its share of all
 // that was lost, and by moments of the given length in which anything was.
-func (a *Account) Write(w io.Writer, step time.Duration) error {
+func (a *Account) WriteReport(w io.Writer, step time.Duration) error {
 	if len(a.requests) == 0 {
 		return fmt.Errorf("no request in these logs: %d lines were passed over; give the logs of all entries", a.skipped)
 	}
--- a/report/burn/burn.go
+++ b/report/burn/burn.go
@@ -46,9 +46,9 @@
 	Served bool
 	// Whole is true for a request that was answered whole.
 	Whole bool
-	// Timed is true for a streamed answer; InTime when it met the latency
+	// Streamed is true for a streamed answer; LatencyMet when it met the latency
 	// objective.
-	Timed, InTime bool
+	Streamed, LatencyMet bool
 	// FirstTokenMS and BetweenTokensMS are in milliseconds, zero if unknown.
 	FirstTokenMS, BetweenTokensMS float64
 }
@@ -82,8 +82,8 @@
 	c.Bad += o.Bad
 }
 
-// Rate is the burn rate: the share of bad events over the share allowed.
-func (c Count) Rate(target float64) float64 {
+// BurnRate is the burn rate: the share of bad events over the share allowed.
+func (c Count) BurnRate(target float64) float64 {
 	if c.Good+c.Bad == 0 || target >= 1 {
 		return 0
 	}
@@ -134,7 +134,7 @@
 	byPath map[string]*series
 	// first and between are latencies in microseconds by partner/service.
 	first, between map[string]*hdrhistogram.Histogram
-	reuse          map[string]Tokens
+	reuse          map[string]CacheReuse
 }
 
 // Bounds of the histograms, in microseconds, and their precision: two
@@ -150,11 +150,11 @@
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{byPath: map[string]*series{}, first: map[string]*hdrhistogram.Histogram{}, between: map[string]*hdrhistogram.Histogram{}, reuse: map[string]Tokens{}}
+	return &Recorder{byPath: map[string]*series{}, first: map[string]*hdrhistogram.Histogram{}, between: map[string]*hdrhistogram.Histogram{}, reuse: map[string]CacheReuse{}}
 }
 
-// Observe counts one event under the objectives in force for it.
-func (r *Recorder) Observe(ev Event, t Targets, now clock.Millis) {
+// RecordEvent counts one event under the objectives in force for it.
+func (r *Recorder) RecordEvent(ev Event, t Targets, now clock.Millis) {
 	s := r.byPath[ev.Path]
 	if s == nil {
 		s = &series{}
@@ -175,11 +175,11 @@
 		if ev.Served {
 			w.add(1, good(ev.Whole), now)
 		}
-		if ev.Timed {
-			w.add(0, good(ev.InTime), now)
+		if ev.Streamed {
+			w.add(0, good(ev.LatencyMet), now)
 		}
 	}
-	if ev.Timed {
+	if ev.Streamed {
 		key := flowOf(ev.Path)
 		record(r.first, key, ev.FirstTokenMS)
 		if ev.BetweenTokensMS > 0 {
@@ -242,7 +242,7 @@
 			for oi, o := range Objectives {
 				if c := w.sum(oi, now); c.Good+c.Bad > 0 {
 					t := se.targets.of(o)
-					s.Rows = append(s.Rows, Row{path, o, t, Windows[wi], c, c.Rate(t)})
+					s.Rows = append(s.Rows, Row{path, o, t, Windows[wi], c, c.BurnRate(t)})
 				}
 			}
 		}
--- a/report/burn/burn_test.go
+++ b/report/burn/burn_test.go
@@ -14,7 +14,7 @@
 // observe counts n events, the first bad of them not whole.
 func observe(r *burn.Recorder, path string, n, bad int, now clock.Millis) {
 	for i := range n {
-		r.Observe(burn.Event{Path: path, Served: true, Whole: i >= bad, Timed: true, InTime: i >= 2*bad, FirstTokenMS: float64(100 + i), BetweenTokensMS: 10}, targets, now)
+		r.RecordEvent(burn.Event{Path: path, Served: true, Whole: i >= bad, Streamed: true, LatencyMet: i >= 2*bad, FirstTokenMS: float64(100 + i), BetweenTokensMS: 10}, targets, now)
 	}
 }
 
@@ -99,7 +99,7 @@
 	for i := range 4 {
 		r := burn.NewRecorder()
 		for ms := 1 + i; ms <= 1000; ms += 4 {
-			r.Observe(burn.Event{Path: "p/w/chat", Served: true, Whole: true, Timed: true, FirstTokenMS: float64(ms)}, targets, 0)
+			r.RecordEvent(burn.Event{Path: "p/w/chat", Served: true, Whole: true, Streamed: true, FirstTokenMS: float64(ms)}, targets, 0)
 		}
 		snaps = append(snaps, r.Snapshot(0))
 	}
@@ -119,7 +119,7 @@
 	var snaps []burn.Snapshot
 	for i := range 2 {
 		r := burn.NewRecorder()
-		r.Turn("planning", 1000, 700+100*i)
+		r.RecordTurn("planning", 1000, 700+100*i)
 		s := r.Snapshot(0)
 		s.Measures.Skew = map[string]float64{"drafting": 1.2 + float64(i)/10}
 		s.Measures.Control = map[string]float64{"in": 1000, "out": 500}
--- a/report/burn/measures.go
+++ b/report/burn/measures.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Tokens is what the chats of a partner that returned read and found cached.
-type Tokens struct {
+// CacheReuse is what the chats of a partner that returned read and found cached.
+type CacheReuse struct {
 	// Prompt counts prompt tokens of returning turns, Cached those of them
 	// that an engine had cached.
 	Prompt int64 `json:"prompt"`
@@ -16,7 +16,7 @@
 // Measures are the users' three measures as one process sees them.
 type Measures struct {
 	// Reuse is by partner, since the process started.
-	Reuse map[string]Tokens `json:"reuse,omitempty"`
+	Reuse map[string]CacheReuse `json:"reuse,omitempty"`
 	// Skew is the highest load of an engine over the mean of its pool, now.
 	Skew map[string]float64 `json:"skew,omitempty"`
 	// Control is bytes a second by direction and kind, since the process
@@ -24,8 +24,8 @@
 	Control map[string]float64 `json:"control,omitempty"`
 }
 
-// Turn counts a returning chat turn of a partner.
-func (r *Recorder) Turn(partner string, prompt, cached int) {
+// RecordTurn counts a returning chat turn of a partner.
+func (r *Recorder) RecordTurn(partner string, prompt, cached int) {
 	t := r.reuse[partner]
 	t.Prompt += int64(prompt)
 	t.Cached += int64(cached)
@@ -43,7 +43,7 @@
 // measures merges those of several processes: tokens are added up, skew is
 // the worst that any sees, control traffic is each process's own.
 func measures(sources []string, snaps []Snapshot) []MeasureRow {
-	reuse, skew := map[string]Tokens{}, map[string]float64{}
+	reuse, skew := map[string]CacheReuse{}, map[string]float64{}
 	var control []MeasureRow
 	for i, s := range snaps {
 		for p, t := range s.Measures.Reuse {
--- a/report/burn/merge.go
+++ b/report/burn/merge.go
@@ -70,7 +70,7 @@
 	}
 	rep := Report{Sources: sources, Measures: measures(sources, snaps)}
 	for k, r := range rows {
-		r.Burn = r.Rate(r.Target)
+		r.Burn = r.BurnRate(r.Target)
 		rows[k] = r
 		rep.Rows = append(rep.Rows, r)
 	}
