--- a/callers/ahead.go
+++ b/callers/ahead.go
@@ -66,7 +66,7 @@
 	buf := make([]byte, readAheadSize)
 	for {
 		n, err := c.Conn.Read(buf)
-		c.server.cfg.Link.Came(n)
+		c.server.cfg.Link.RecordCallerBytes(n)
 		if !c.bufferReadAhead(buf[:n], err) {
 			return
 		}
--- a/callers/conns.go
+++ b/callers/conns.go
@@ -177,7 +177,7 @@
 	n, err := c.drainReadAhead(p)
 	for n == 0 && err == nil {
 		n, err = c.Conn.Read(p)
-		c.server.cfg.Link.Came(n)
+		c.server.cfg.Link.RecordCallerBytes(n)
 		if errors.Is(err, os.ErrDeadlineExceeded) && c.receivedBeforeClose() {
 			err = nil
 		}
@@ -259,7 +259,7 @@
 	if !c.closing {
 		return false
 	}
-	quiet, err := sock.Quiet(c.Conn)
+	quiet, err := sock.NothingToRead(c.Conn)
 	if quiet || err != nil {
 		return false
 	}
--- a/callers/ending_test.go
+++ b/callers/ending_test.go
@@ -63,7 +63,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := framing.Of(res); got != tc.framed {
+			if got := framing.OfResponse(res); got != tc.framed {
 				t.Errorf("got framing %s, want %s", got, tc.framed)
 			}
 			close(proceed)
--- a/common/clock/clock.go
+++ b/common/clock/clock.go
@@ -19,15 +19,15 @@
 // FromDuration rounds d down to whole milliseconds.
 func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Hands are the clocks of an instance that a Clock reads.
-type Hands interface {
+// Source are the clocks of an instance that a Clock reads.
+type Source interface {
 	// Read returns the steady time, which stands still while the instance is suspended,
 	// and the time of day, which may be set. Both are counted from moments that do not
 	// change.
 	Read() (steady, day time.Duration)
-	// Boot returns the steady time with suspensions counted, from another such moment. It
+	// SinceBoot returns the steady time with suspensions counted, from another such moment. It
 	// reports false if the instance does not tell it.
-	Boot() (time.Duration, bool)
+	SinceBoot() (time.Duration, bool)
 }
 
 // Clock tells monotonic and wall time. The zero value is not usable; use
@@ -40,7 +40,7 @@
 // read only when the time of day has moved against the steady time, which a suspension does
 // and a set time of day, too, and by Check.
 type Clock struct {
-	hands Hands
+	hands Source
 	// suspended is how long the steady time stood still so far, in nanoseconds.
 	suspended atomic.Int64
 	// woke is when the end of the latest suspension was noticed, in nanoseconds.
@@ -73,17 +73,17 @@
 )
 
 // System returns the clock of this process.
-func System() *Clock { return WithHands(machine()) }
+func System() *Clock { return New(machine()) }
 
 // machine returns the hands that System reads.
-var machine = func() Hands { return systemHands{time.Now()} }
+var machine = func() Source { return systemHands{time.Now()} }
 
-// Replace makes System read other hands from now on. It is for processes of tests, and
+// SetSystemSource makes System read other hands from now on. It is for processes of tests, and
 // called before any other goroutine runs.
-func Replace(hands func() Hands) { machine = hands }
+func SetSystemSource(hands func() Source) { machine = hands }
 
-// WithHands returns a clock that reads the given hands.
-func WithHands(h Hands) *Clock {
+// New returns a clock that reads the given hands.
+func New(h Source) *Clock {
 	c := &Clock{hands: h, ended: make(chan struct{})}
 	c.ahead, c.known = c.boot()
 	steady, day := h.Read()
@@ -97,7 +97,7 @@
 	best, known := time.Duration(0), false
 	for range looks {
 		before, _ := c.hands.Read()
-		boot, ok := c.hands.Boot()
+		boot, ok := c.hands.SinceBoot()
 		if !ok {
 			return 0, false
 		}
@@ -119,7 +119,7 @@
 	steady, day := c.hands.Read()
 	moved := int64(day-steady) - c.apart.Load()
 	if max(moved, -moved) > int64(notice) {
-		c.Check()
+		c.CheckSuspended()
 		steady, _ = c.hands.Read()
 	}
 	return steady + time.Duration(c.suspended.Load())
@@ -135,8 +135,8 @@
 // latency histograms alone.
 func (c *Clock) Micros() int64 { return c.now().Microseconds() }
 
-// Check looks whether the instance was suspended.
-func (c *Clock) Check() {
+// CheckSuspended looks whether the instance was suspended.
+func (c *Clock) CheckSuspended() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.known {
@@ -158,9 +158,9 @@
 	}
 }
 
-// Woke returns when the end of the latest suspension was noticed, 0 if there was none. It
+// ResumedAt returns when the end of the latest suspension was noticed, 0 if there was none. It
 // looks for one first.
-func (c *Clock) Woke() Millis {
+func (c *Clock) ResumedAt() Millis {
 	c.now()
 	return FromDuration(time.Duration(c.woke.Load()))
 }
@@ -215,12 +215,14 @@
 	}
 }
 
-// After calls f in a goroutine of its own when d has gone by.
-func After(d Millis, f func()) { time.AfterFunc(d.Duration(), f) }
+// AfterFunc calls f in a goroutine of its own when d has gone by.
+func AfterFunc(d Millis, f func()) { time.AfterFunc(d.Duration(), f) }
 
-// AfterUnless calls f in a goroutine of its own when d has gone by, unless stop is called
+// AfterFuncWithStop calls f in a goroutine of its own when d has gone by, unless stop is called
 // before, which then returns true.
-func AfterUnless(d Millis, f func()) (stop func() bool) { return time.AfterFunc(d.Duration(), f).Stop }
+func AfterFuncWithStop(d Millis, f func()) (stop func() bool) {
+	return time.AfterFunc(d.Duration(), f).Stop
+}
 
 // Sleep waits for d or until ctx is done, and reports whether d went by.
 func Sleep(ctx context.Context, d Millis) bool {
@@ -265,5 +267,5 @@
 // Deadline returns the point d from now for libraries that want a time.Time.
 func Deadline(d Millis) time.Time { return time.Now().Add(d.Duration()) }
 
-// Never returns the point that takes a deadline away.
-func Never() time.Time { return time.Time{} }
+// NoDeadline returns the point that takes a deadline away.
+func NoDeadline() time.Time { return time.Time{} }
--- a/common/clock/clock_test.go
+++ b/common/clock/clock_test.go
@@ -31,11 +31,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := clocktest.New()
-				c := clock.WithHands(h)
+				c := clock.New(h)
 				time.Sleep(time.Second)
 				before := c.Now()
 				tc.move(h)
-				c.Check()
+				c.CheckSuspended()
 				if got := c.Now() - before; got != tc.want {
 					t.Errorf("got %d ms gone by, want %d", got, tc.want)
 				}
@@ -53,7 +53,7 @@
 func TestTheFirstReadingNoticesASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
-		c := clock.WithHands(h)
+		c := clock.New(h)
 		before, read := c.Now(), h.Boots()
 		for range 1000 {
 			c.Now()
@@ -66,7 +66,7 @@
 			t.Errorf("got %d ms gone by, want 3000", got)
 		}
 		h.Move(3*time.Second, -3*time.Second)
-		c.Check()
+		c.CheckSuspended()
 		if got := c.Now() - before; got != 6000 {
 			t.Errorf("got %d ms gone by after a check, want 6000", got)
 		}
@@ -76,10 +76,10 @@
 func TestTimeDoesNotGoBackOrJumpWhereBootIsNotTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.WithoutBoot()
-		c := clock.WithHands(h)
+		c := clock.New(h)
 		before := c.Now()
 		h.Suspend(3 * time.Second)
-		c.Check()
+		c.CheckSuspended()
 		if got := c.Now() - before; got != 0 {
 			t.Errorf("got %d ms gone by, want 0: a set time of day looks the same", got)
 		}
@@ -92,27 +92,27 @@
 	look func()
 }
 
-// Boot implements clock.Hands.
-func (h *lookedAt) Boot() (time.Duration, bool) {
+// SinceBoot implements clock.Source.
+func (h *lookedAt) SinceBoot() (time.Duration, bool) {
 	if look := h.look; look != nil {
 		h.look = nil
 		look()
 	}
-	return h.Hands.Boot()
+	return h.Hands.SinceBoot()
 }
 
 // Who reads the clock while another is about to find out how long a suspension lasted waits
 // for that, and does not take the time of before for now.
 func TestNobodyReadsTheTimeOfBeforeASuspension(t *testing.T) {
 	h := &lookedAt{Hands: clocktest.New()}
-	c := clock.WithHands(h)
+	c := clock.New(h)
 	before := c.Now()
 	other := make(chan [2]clock.Millis, 1)
 	h.look = func() {
 		read := make(chan bool)
 		go func() {
 			now := c.Now()
-			other <- [2]clock.Millis{now, c.Woke()}
+			other <- [2]clock.Millis{now, c.ResumedAt()}
 			close(read)
 		}()
 		select {
@@ -130,19 +130,19 @@
 func TestWokeTellsTheLatestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
-		c := clock.WithHands(h)
-		if got := c.Woke(); got != 0 {
+		c := clock.New(h)
+		if got := c.ResumedAt(); got != 0 {
 			t.Errorf("got a suspension that ended at %d, want none", got)
 		}
 		for range 2 {
 			time.Sleep(time.Second)
 			before := c.Now()
 			h.Suspend(3 * time.Second)
-			if got := c.Woke(); got != before+3000 {
+			if got := c.ResumedAt(); got != before+3000 {
 				t.Errorf("got a suspension that ended at %d, want %d", got, before+3000)
 			}
 			h.Set(time.Hour)
-			if got := c.Woke(); got != before+3000 {
+			if got := c.ResumedAt(); got != before+3000 {
 				t.Errorf("got a suspension that ended at %d after the time of day was set, want %d", got, before+3000)
 			}
 		}
@@ -154,7 +154,7 @@
 func TestWaitsEndWithASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
-		c := clock.WithHands(h)
+		c := clock.New(h)
 		var mu sync.Mutex
 		var told []clock.Millis
 		c.OnSuspend(func(gap clock.Millis) {
@@ -167,7 +167,7 @@
 		go func() { done <- c.SleepUntil(context.Background(), c.Now()+60_000) }()
 		time.Sleep(time.Second)
 		h.Suspend(20 * time.Second)
-		c.Check()
+		c.CheckSuspended()
 		synctest.Wait()
 		select {
 		case <-done:
@@ -175,7 +175,7 @@
 		default:
 		}
 		h.Suspend(50 * time.Second)
-		c.Check()
+		c.CheckSuspended()
 		if ok := <-done; !ok || time.Since(start) != time.Second {
 			t.Errorf("got %v after %v, want the wait over with the second suspension", ok, time.Since(start))
 		}
--- a/common/dial/idle.go
+++ b/common/dial/idle.go
@@ -7,9 +7,9 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Idle are the idle connections of a client. Those that rested while the instance was
+// IdleConns are the idle connections of a client. Those that rested while the instance was
 // suspended may have died meanwhile, and the library's idle time stood still.
-type Idle struct {
+type IdleConns struct {
 	http *http.Client
 	clk  *clock.Clock
 
@@ -18,14 +18,14 @@
 	woke clock.Millis
 }
 
-// NewIdle returns the idle connections of a client.
-func NewIdle(c *http.Client, clk *clock.Clock) *Idle { return &Idle{http: c, clk: clk} }
+// NewIdleConns returns the idle connections of a client.
+func NewIdleConns(c *http.Client, clk *clock.Clock) *IdleConns { return &IdleConns{http: c, clk: clk} }
 
 // CloseStale closes them if the instance was suspended since the last call.
-func (i *Idle) CloseStale() {
+func (i *IdleConns) CloseStale() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if woke := i.clk.Woke(); i.woke != woke {
+	if woke := i.clk.ResumedAt(); i.woke != woke {
 		i.woke = woke
 		i.http.CloseIdleConnections()
 	}
--- a/common/downlink/downlink.go
+++ b/common/downlink/downlink.go
@@ -64,8 +64,8 @@
 
 const millisPerSecond = 1000
 
-// Came records bytes that came for or from a caller. It never waits.
-func (d *Downlink) Came(n int) {
+// RecordCallerBytes records bytes that came for or from a caller. It never waits.
+func (d *Downlink) RecordCallerBytes(n int) {
 	if d == nil || d.transfers.Load() == 0 {
 		return
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// Begin records that a transfer begins; end is called when it has ended.
-func (d *Downlink) Begin() (end func()) {
+// BeginTransfer records that a transfer begins; end is called when it has ended.
+func (d *Downlink) BeginTransfer() (end func()) {
 	if d == nil {
 		return func() {}
 	}
@@ -90,8 +90,8 @@
 	return func() { d.transfers.Add(-1) }
 }
 
-// Piece returns the part of a buffer that a transfer may fill at once.
-func (d *Downlink) Piece(b []byte) []byte {
+// Chunk returns the part of a buffer that a transfer may fill at once.
+func (d *Downlink) Chunk(b []byte) []byte {
 	if d == nil {
 		return b
 	}
--- a/common/downlink/downlink_test.go
+++ b/common/downlink/downlink_test.go
@@ -17,7 +17,7 @@
 	// A wait that is longer than the context allows fails at once.
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
-	return d.Wait(ctx, len(d.Piece(make([]byte, link)))) == nil
+	return d.Wait(ctx, len(d.Chunk(make([]byte, link)))) == nil
 }
 
 // Callers' bytes come out of what a transfer may read, and only while there is one.
@@ -27,11 +27,11 @@
 			t.Parallel()
 			d := downlink.New(link)
 			if !during {
-				d.Came(link)
+				d.RecordCallerBytes(link)
 			}
-			defer d.Begin()()
+			defer d.BeginTransfer()()
 			if during {
-				d.Came(link)
+				d.RecordCallerBytes(link)
 			}
 			if got, want := wait(t, d, 150*time.Millisecond), !during; got != want {
 				t.Errorf("got no wait %v, want %v: callers took a second's bytes", got, want)
@@ -44,9 +44,9 @@
 func TestCallersDoNotStopATransfer(t *testing.T) {
 	t.Parallel()
 	d := downlink.New(link)
-	defer d.Begin()()
+	defer d.BeginTransfer()()
 	for range 4 {
-		d.Came(1 << 20)
+		d.RecordCallerBytes(1 << 20)
 		if !wait(t, d, 5*time.Second) {
 			t.Fatal("got a wait of over 5 s, want a piece: callers took a minute's bytes")
 		}
@@ -56,9 +56,9 @@
 // Nothing is held up on a link of which nothing is known.
 func TestAnUnknownLinkHoldsNothingUp(t *testing.T) {
 	d := downlink.New(0)
-	defer d.Begin()()
-	d.Came(1 << 30)
-	if got := len(d.Piece(make([]byte, 1<<20))); got != 1<<20 {
+	defer d.BeginTransfer()()
+	d.RecordCallerBytes(1 << 30)
+	if got := len(d.Chunk(make([]byte, 1<<20))); got != 1<<20 {
 		t.Errorf("got a piece of %d bytes, want the whole buffer", got)
 	}
 	if err := d.Wait(t.Context(), 1<<30); err != nil {
--- a/common/framing/framing.go
+++ b/common/framing/framing.go
@@ -20,8 +20,8 @@
 	UntilClose Framing = "close"
 )
 
-// Of returns the framing of an answer.
-func Of(res *http.Response) Framing {
+// OfResponse returns the framing of an answer.
+func OfResponse(res *http.Response) Framing {
 	switch {
 	case len(res.TransferEncoding) > 0:
 		return Chunked
@@ -31,21 +31,21 @@
 	return UntilClose
 }
 
-// End is what is known of a message that has ended.
-type End string
+// Completeness is what is known of a message that has ended.
+type Completeness string
 
 const (
 	// Complete means that the sender's framing says that this is all.
-	Complete End = "complete"
+	Complete Completeness = "complete"
 	// Closed means that the message ended with its connection: whether it is complete is
 	// not known.
-	Closed End = "closed"
+	Closed Completeness = "closed"
 	// Incomplete means that the message broke off.
-	Incomplete End = "incomplete"
+	Incomplete Completeness = "incomplete"
 )
 
-// End returns what the error that ended the reading of a body says.
-func (f Framing) End(err error) End {
+// Completeness returns what the error that ended the reading of a body says.
+func (f Framing) Completeness(err error) Completeness {
 	switch {
 	case !errors.Is(err, io.EOF):
 		return Incomplete
--- a/common/framing/framing_test.go
+++ b/common/framing/framing_test.go
@@ -14,7 +14,7 @@
 	cases := []struct {
 		name, method, answer string
 		framing              framing.Framing
-		end                  framing.End
+		end                  framing.Completeness
 	}{
 		{"length", "GET", "Content-Length: 4\r\n\r\nbody", framing.Length, framing.Complete},
 		{"less than its length", "GET", "Content-Length: 5\r\n\r\nbody", framing.Length, framing.Incomplete},
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = res.Body.Close() }()
-			f := framing.Of(res)
+			f := framing.OfResponse(res)
 			if f != tc.framing {
 				t.Errorf("got framing %s, want %s", f, tc.framing)
 			}
@@ -43,7 +43,7 @@
 					break
 				}
 			}
-			if got := f.End(end); got != tc.end {
+			if got := f.Completeness(end); got != tc.end {
 				t.Errorf("got %s by %v, want %s", got, end, tc.end)
 			}
 		})
--- a/common/fresh/epoch.go
+++ b/common/fresh/epoch.go
@@ -24,9 +24,9 @@
 // Number returns the number of the epoch, zero if none is known.
 func (e *Epoch) Number() int64 { return e.n }
 
-// See records that an answer to what was asked at a time was of an epoch, and reports
+// Observe records that an answer to what was asked at a time was of an epoch, and reports
 // whether that is a later one.
-func (e *Epoch) See(n int64, at clock.Millis) bool {
+func (e *Epoch) Observe(n int64, at clock.Millis) bool {
 	if n <= e.n {
 		return false
 	}
@@ -34,30 +34,30 @@
 	return true
 }
 
-// Told records that another has known an epoch since a time. Only the source says that
-// there is a later one; Told reports whether it should be asked.
-func (e *Epoch) Told(n int64, since clock.Millis) bool {
+// ObservePeer records that another has known an epoch since a time. Only the source says that
+// there is a later one; ObservePeer reports whether it should be asked.
+func (e *Epoch) ObservePeer(n int64, since clock.Millis) bool {
 	if n == e.n {
 		e.since = min(e.since, since)
 	}
 	return n > e.n
 }
 
-// Later reports whether the source has come back from an older copy, now or at some time.
-func (e *Epoch) Later() bool { return e.n > firstEpoch }
+// Restored reports whether the source has come back from an older copy, now or at some time.
+func (e *Epoch) Restored() bool { return e.n > firstEpoch }
 
 // Age returns how long ago the epoch was first heard of.
 func (e *Epoch) Age(now clock.Millis) clock.Millis { return now - e.since }
 
-// Doubts reports whether what the source said when it was asked at a time may be older
+// MayBeStale reports whether what the source said when it was asked at a time may be older
 // than what it had said before. One that is first met in a later epoch may just have come
 // back.
-func (e *Epoch) Doubts(at clock.Millis) bool {
-	return e.Later() && at >= e.since && at < e.since+e.settle
+func (e *Epoch) MayBeStale(at clock.Millis) bool {
+	return e.Restored() && at >= e.since && at < e.since+e.settle
 }
 
-// Proves reports whether an answer of an epoch, to what was asked at a time, shows what
+// Confirms reports whether an answer of an epoch, to what was asked at a time, shows what
 // is true.
-func (e *Epoch) Proves(n int64, at clock.Millis) bool {
-	return n == e.n && (!e.Later() || at >= e.since+e.settle)
+func (e *Epoch) Confirms(n int64, at clock.Millis) bool {
+	return n == e.n && (!e.Restored() || at >= e.since+e.settle)
 }
--- a/common/fresh/epoch_test.go
+++ b/common/fresh/epoch_test.go
@@ -11,14 +11,14 @@
 
 func TestASourceWithoutEpochsIsNeverInDoubt(t *testing.T) {
 	e := fresh.NewEpoch(settle)
-	if e.Doubts(0) || e.Doubts(100) || !e.Proves(0, 0) {
+	if e.MayBeStale(0) || e.MayBeStale(100) || !e.Confirms(0, 0) {
 		t.Error("got doubt without epochs, want none")
 	}
-	e.See(1, 50)
-	if e.Doubts(60) || !e.Proves(1, 60) {
+	e.Observe(1, 50)
+	if e.MayBeStale(60) || !e.Confirms(1, 60) {
 		t.Error("got doubt in the first epoch, want none")
 	}
-	if e.Proves(0, 60) {
+	if e.Confirms(0, 60) {
 		t.Error("got a proof by an answer of no epoch, want none")
 	}
 }
@@ -27,9 +27,9 @@
 	for name, first := range map[string]int64{"seen to rise": 1, "met so": 0} {
 		e := fresh.NewEpoch(settle)
 		if first > 0 {
-			e.See(first, 0)
+			e.Observe(first, 0)
 		}
-		if !e.See(2, 1000) {
+		if !e.Observe(2, 1000) {
 			t.Errorf("%s: got no later epoch, want one", name)
 		}
 		for _, tc := range []struct {
@@ -38,22 +38,22 @@
 		}{
 			{1000, true, false}, {3499, true, false}, {3500, false, true},
 		} {
-			if got := e.Doubts(tc.at); got != tc.doubts {
+			if got := e.MayBeStale(tc.at); got != tc.doubts {
 				t.Errorf("%s: got doubts %v at %d, want %v", name, got, tc.at, tc.doubts)
 			}
-			if got := e.Proves(2, tc.at); got != tc.proves {
+			if got := e.Confirms(2, tc.at); got != tc.proves {
 				t.Errorf("%s: got proves %v at %d, want %v", name, got, tc.at, tc.proves)
 			}
-			if e.Proves(1, tc.at) || e.Proves(3, tc.at) {
+			if e.Confirms(1, tc.at) || e.Confirms(3, tc.at) {
 				t.Errorf("%s: got a proof by an answer of another epoch at %d, want none", name, tc.at)
 			}
 		}
-		if e.See(1, 4000) || e.Number() != 2 {
+		if e.Observe(1, 4000) || e.Number() != 2 {
 			t.Errorf("%s: got epoch %d after word of an earlier one, want 2", name, e.Number())
 		}
 		// It rises twice in a second.
-		e.See(3, 4000)
-		if !e.Doubts(4100) || e.Proves(3, 4100) {
+		e.Observe(3, 4000)
+		if !e.MayBeStale(4100) || e.Confirms(3, 4100) {
 			t.Errorf("%s: got no doubt after another rise, want it", name)
 		}
 	}
@@ -61,11 +61,11 @@
 
 func TestOthersMayHaveKnownAnEpochForLonger(t *testing.T) {
 	e := fresh.NewEpoch(settle)
-	e.See(2, 10_000)
-	if e.Told(2, 1000) || e.Doubts(10_001) {
+	e.Observe(2, 10_000)
+	if e.ObservePeer(2, 1000) || e.MayBeStale(10_001) {
 		t.Error("got doubt in an epoch that another has known for long, want none")
 	}
-	if !e.Told(3, 0) || e.Number() != 2 {
+	if !e.ObservePeer(3, 0) || e.Number() != 2 {
 		t.Errorf("got epoch %d by word of another, want the source to be asked", e.Number())
 	}
 }
--- a/common/fresh/fresh.go
+++ b/common/fresh/fresh.go
@@ -6,8 +6,8 @@
 
 import "github.com/weldfall/weldfall/common/clock"
 
-// Belief is the age of something that was read from its source.
-type Belief struct {
+// Tracker is the age of something that was read from its source.
+type Tracker struct {
 	// trueAt is the latest time at which the belief is known to have been
 	// true; it never goes back.
 	trueAt clock.Millis
@@ -15,7 +15,7 @@
 }
 
 // Confirm records that the belief was true at the given time.
-func (b *Belief) Confirm(at clock.Millis) {
+func (b *Tracker) Confirm(at clock.Millis) {
 	if !b.known || at > b.trueAt {
 		b.trueAt = at
 	}
@@ -23,10 +23,10 @@
 }
 
 // Known reports whether anything was ever read.
-func (b *Belief) Known() bool { return b.known }
+func (b *Tracker) Known() bool { return b.known }
 
 // Age returns how long ago the belief was last known to be true.
-func (b *Belief) Age(now clock.Millis) clock.Millis { return now - b.trueAt }
+func (b *Tracker) Age(now clock.Millis) clock.Millis { return now - b.trueAt }
 
 // Within reports whether the belief is known and at most limit old.
-func (b *Belief) Within(limit, now clock.Millis) bool { return b.known && b.Age(now) <= limit }
+func (b *Tracker) Within(limit, now clock.Millis) bool { return b.known && b.Age(now) <= limit }
--- a/common/fresh/fresh_test.go
+++ b/common/fresh/fresh_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestABeliefIsAsOldAsItsRead(t *testing.T) {
-	var b fresh.Belief
+	var b fresh.Tracker
 	if b.Within(1_000_000, 0) {
 		t.Error("got a belief that was never read within a limit, want it unknown")
 	}
--- a/common/silence/silence.go
+++ b/common/silence/silence.go
@@ -24,71 +24,71 @@
 	least = 1460
 )
 
-// Guard notices when something from which bytes are expected falls silent. It is
+// Detector notices when something from which bytes are expected falls silent. It is
 // safe for concurrent use.
-type Guard struct {
+type Detector struct {
 	heard atomic.Int64
-	// begun is closed by Begin.
+	// begun is closed by MarkStarted.
 	begun chan struct{}
 	// sent holds a token when a request was sent, for the first time or again.
 	sent chan struct{}
 }
 
-// ErrSilent is why a context ended whose Guard heard nothing.
+// ErrSilent is why a context ended whose Detector heard nothing.
 var ErrSilent = errors.New("no answer in time")
 
 // Context returns a context that ends with ErrSilent as its cause when no sign came
-// for the limit, counted as Wait does, and what ends it, which must be called. A
+// for the limit, counted as WaitSilent does, and what ends it, which must be called. A
 // request that net/http sends with it tells the guard: the library sends one again,
 // without word, if a connection that rested breaks under it. Counted from the first
 // sending, one that was sent again late in its wait was taken for silent.
-func (g *Guard) Context(ctx context.Context, wait, limit clock.Millis) (context.Context, func()) {
+func (g *Detector) Context(ctx context.Context, wait, limit clock.Millis) (context.Context, func()) {
 	silent, end := context.WithCancelCause(ctx)
 	go func() {
-		if g.Wait(silent, wait, limit) {
+		if g.WaitSilent(silent, wait, limit) {
 			end(ErrSilent)
 		}
 	}()
-	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { g.Sent() }}
+	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { g.MarkSent() }}
 	return httptrace.WithClientTrace(silent, trace), func() { end(nil) }
 }
 
 // New returns a guard of something that has given no sign.
-func New() *Guard { return &Guard{begun: make(chan struct{}), sent: make(chan struct{}, 1)} }
+func New() *Detector { return &Detector{begun: make(chan struct{}), sent: make(chan struct{}, 1)} }
 
-// Begin records the first sign, once: what was waited for has begun.
-func (g *Guard) Begin() { close(g.begun) }
+// MarkStarted records the first sign, once: what was waited for has begun.
+func (g *Detector) MarkStarted() { close(g.begun) }
 
-// Sent records that a request was sent: who holds it does so from now on.
-func (g *Guard) Sent() {
+// MarkSent records that a request was sent: who holds it does so from now on.
+func (g *Detector) MarkSent() {
 	select {
 	case g.sent <- struct{}{}:
 	default:
 	}
 }
 
-// Heard records that bytes came.
-func (g *Guard) Heard(bytes int) { g.heard.Add(int64(bytes)) }
+// RecordBytes records that bytes came.
+func (g *Detector) RecordBytes(bytes int) { g.heard.Add(int64(bytes)) }
 
 // Reader returns r with each read heard.
-func (g *Guard) Reader(r io.Reader) io.Reader { return reader{r, g} }
+func (g *Detector) Reader(r io.Reader) io.Reader { return reader{r, g} }
 
 type reader struct {
 	r io.Reader
-	g *Guard
+	g *Detector
 }
 
 // Read implements io.Reader.
 func (r reader) Read(p []byte) (int, error) {
 	n, err := r.r.Read(p)
-	r.g.Heard(n)
+	r.g.RecordBytes(n)
 	return n, err
 }
 
-// Wait returns true when no sign came for the limit, counted from the first sign or
+// WaitSilent returns true when no sign came for the limit, counted from the first sign or
 // the end of the given wait, which begins anew with each sending, and false when ctx
 // is done.
-func (g *Guard) Wait(ctx context.Context, wait, limit clock.Millis) bool {
+func (g *Detector) WaitSilent(ctx context.Context, wait, limit clock.Millis) bool {
 	for {
 		if !g.hold(ctx, wait) {
 			return false
@@ -102,7 +102,7 @@
 
 // hold waits for the first sign, or the given wait after the latest sending. It
 // returns false when ctx is done.
-func (g *Guard) hold(ctx context.Context, wait clock.Millis) bool {
+func (g *Detector) hold(ctx context.Context, wait clock.Millis) bool {
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	for {
@@ -121,7 +121,7 @@
 
 // listen waits until no sign comes for the limit, until a request is sent again, or
 // until ctx is done, which is neither.
-func (g *Guard) listen(ctx context.Context, limit clock.Millis) (sent, silent bool) {
+func (g *Detector) listen(ctx context.Context, limit clock.Millis) (sent, silent bool) {
 	begun := g.begun
 	select {
 	case <-begun:
--- a/common/silence/silence_test.go
+++ b/common/silence/silence_test.go
@@ -12,9 +12,9 @@
 const limit clock.Millis = 140
 
 // feed tells the guard of n bytes each few milliseconds until ctx is done.
-func feed(ctx context.Context, g *silence.Guard, n int) {
+func feed(ctx context.Context, g *silence.Detector, n int) {
 	for clock.Sleep(ctx, 5) {
-		g.Heard(n)
+		g.RecordBytes(n)
 	}
 }
 
@@ -39,12 +39,12 @@
 			defer cancel()
 			g := silence.New()
 			if tc.begin {
-				g.Begin()
+				g.MarkStarted()
 			}
 			if tc.bytes > 0 {
 				go feed(ctx, g, tc.bytes)
 			}
-			if got := g.Wait(ctx, 0, limit); got != tc.want {
+			if got := g.WaitSilent(ctx, 0, limit); got != tc.want {
 				t.Errorf("got silent %v, want %v", got, tc.want)
 			}
 		})
@@ -55,10 +55,10 @@
 func TestASilenceAfterTheFirstSignIsNotWaitedOut(t *testing.T) {
 	t.Parallel()
 	g := silence.New()
-	go g.Begin()
+	go g.MarkStarted()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	if !g.Wait(ctx, 600_000, limit) {
+	if !g.WaitSilent(ctx, 600_000, limit) {
 		t.Error("got no silence, want one")
 	}
 }
--- a/common/sock/sock.go
+++ b/common/sock/sock.go
@@ -7,15 +7,15 @@
 	"syscall"
 )
 
-// ErrOpaque means that a connection cannot be looked at.
-var ErrOpaque = errors.New("not a connection of the operating system")
+// ErrNotSyscallConn means that a connection cannot be looked at.
+var ErrNotSyscallConn = errors.New("not a connection of the operating system")
 
-// Quiet reports whether an open connection has nothing to read: neither bytes
+// NothingToRead reports whether an open connection has nothing to read: neither bytes
 // nor its end. It may be called while another goroutine reads.
-func Quiet(nc net.Conn) (bool, error) {
+func NothingToRead(nc net.Conn) (bool, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return false, ErrOpaque
+		return false, ErrNotSyscallConn
 	}
 	rc, err := sc.SyscallConn()
 	if err != nil {
--- a/common/sock/sock_test.go
+++ b/common/sock/sock_test.go
@@ -33,7 +33,7 @@
 func becomes(t *testing.T, nc net.Conn, want bool) {
 	t.Helper()
 	for range 1000 {
-		got, err := sock.Quiet(nc)
+		got, err := sock.NothingToRead(nc)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 func TestAConnectionThatCannotBeLookedAt(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _, _ = near.Close(), far.Close() }()
-	if _, err := sock.Quiet(near); !errors.Is(err, sock.ErrOpaque) {
-		t.Errorf("got %v, want %v", err, sock.ErrOpaque)
+	if _, err := sock.NothingToRead(near); !errors.Is(err, sock.ErrNotSyscallConn) {
+		t.Errorf("got %v, want %v", err, sock.ErrNotSyscallConn)
 	}
 }
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -100,7 +100,7 @@
 // relayService passes the answer of a plain service on as it comes.
 func (e *engine) relayService(a *attempt, res *http.Response) wire.Result {
 	head := e.headOf(res)
-	framed := framing.Of(res)
+	framed := framing.OfResponse(res)
 	if framed == framing.UntilClose {
 		head.MarkEndsUntilClose()
 	}
@@ -113,7 +113,7 @@
 		}
 		switch {
 		case err == nil:
-		case framed.End(err) == framing.Incomplete:
+		case framed.Completeness(err) == framing.Incomplete:
 			return e.lost(a, err)
 		default:
 			return wire.Result{Verdict: verdict.Ran}
@@ -153,7 +153,7 @@
 // knownWhole reports whether a body that was read to its end is known to be whole: by its
 // framing, or as a JSON object, of which no part is one.
 func knownWhole(res *http.Response, body []byte) bool {
-	return framing.Of(res) != framing.UntilClose || bytes.HasPrefix(bytes.TrimSpace(body), []byte("{")) && json.Valid(body)
+	return framing.OfResponse(res) != framing.UntilClose || bytes.HasPrefix(bytes.TrimSpace(body), []byte("{")) && json.Valid(body)
 }
 
 type usageBody struct {
--- a/engines/attempt/attempt.go
+++ b/engines/attempt/attempt.go
@@ -15,7 +15,7 @@
 type (
 	// Answered means that the caller has all of the response that arrived. End, which is
 	// Complete or Closed, says whether that is known to be the whole response.
-	Answered struct{ End framing.End }
+	Answered struct{ End framing.Completeness }
 	// Unsent means that no byte of the request reached the engine.
 	Unsent struct{ Err error }
 	// Refused means that the engine, or its daemon, said that it did not run the
@@ -38,7 +38,7 @@
 	Header http.Header
 	Body   []byte
 	// End is Complete or Closed.
-	End framing.End
+	End framing.Completeness
 }
 
 func (Answered) outcome()   {}
--- a/engines/duration/duration.go
+++ b/engines/duration/duration.go
@@ -276,7 +276,7 @@
 // events. It uses the pace of the service, which has more measurements, or that of
 // the route if that is slower.
 func streamEstimate(req Request, stats *routeStats, service *paceStats) Estimate {
-	goal := req.Route.GoalOrUsual()
+	goal := req.Route.GoalOrDefault()
 	first := max(firstEventGoals*goal, clock.Millis(firstEventFactor*float64(stats.firstEvents.longest())))
 	typical := min(timeoutOf(req.Route), goal+eventsTime(req.MaxEvents, service.slowerQuantile(&stats.paceStats, 0.5)))
 	if service.runs.n < minBoundRuns {
--- a/engines/offer/offer.go
+++ b/engines/offer/offer.go
@@ -92,7 +92,7 @@
 	ended chan end
 	tries int
 	// responseEnd is how a response ends that has arrived without an error.
-	responseEnd framing.End
+	responseEnd framing.Completeness
 }
 
 // end is the end of a call to a daemon.
--- a/engines/upstream/pool.go
+++ b/engines/upstream/pool.go
@@ -187,7 +187,7 @@
 	n, err := c.nc.Read(b)
 	if n > 0 {
 		c.received += int64(n)
-		c.link.Came(n)
+		c.link.RecordCallerBytes(n)
 		c.receivedAt.Store(int64(c.clk.Now()))
 		c.hasReceived.Store(true)
 	}
@@ -210,7 +210,7 @@
 	if c.br.Buffered() > 0 {
 		return false
 	}
-	quiet, err := sock.Quiet(c.nc)
+	quiet, err := sock.NothingToRead(c.nc)
 	return err == nil && quiet
 }
 
@@ -218,7 +218,7 @@
 // holds the connection. The engine may have closed it meanwhile without this instance
 // receiving that. A response shows that the connection was open when its request was
 // sent, not when it was read: it may have arrived before the suspension.
-func (c *conn) stale() bool { return max(c.dialedAt, c.sentAt) < c.clk.Woke() }
+func (c *conn) stale() bool { return max(c.dialedAt, c.sentAt) < c.clk.ResumedAt() }
 
 // acquire returns an idle connection or a new one.
 func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
--- a/engines/upstream/upstream.go
+++ b/engines/upstream/upstream.go
@@ -122,7 +122,7 @@
 func (a *Response) Close() {
 	a.once.Do(func() {
 		attached := a.stop()
-		ok := attached && a.ended && a.keep && framing.Of(a.Response) != framing.UntilClose && a.conn.br.Buffered() == 0 && a.bodySent()
+		ok := attached && a.ended && a.keep && framing.OfResponse(a.Response) != framing.UntilClose && a.conn.br.Buffered() == 0 && a.bodySent()
 		a.pool.endExchange(a.conn)
 		a.pool.release(a.conn, ok, a.Header)
 	})
--- a/fleet/handle.go
+++ b/fleet/handle.go
@@ -116,7 +116,7 @@
 	if it.LastGood != "" {
 		// A process that missed the last valid value before an invalid one, or started
 		// after it, still puts it in force.
-		if err := n.tree.ApplyGood(it.Key, it.LastGood, it.LastGoodRev); err != nil {
+		if err := n.tree.ApplyLastGood(it.Key, it.LastGood, it.LastGoodRev); err != nil {
 			n.cfg.Log.Warn("settings_invalid", "path", it.Key, "revision", it.LastGoodRev, "error", err)
 		}
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -140,7 +140,7 @@
 		return "", err
 	}
 	n.mu.Lock()
-	known := n.tree.Has(path) || n.branchesComplete
+	known := n.tree.Seen(path) || n.branchesComplete
 	n.mu.Unlock()
 	if !known && n.fetchLimit.Allow() {
 		n.fetchBranch(ctx, path)
--- a/fleet/source/client.go
+++ b/fleet/source/client.go
@@ -69,13 +69,13 @@
 type Client struct {
 	base string
 	http *http.Client
-	idle *dial.Idle
+	idle *dial.IdleConns
 }
 
 // New returns a client of the platform at base, for example http://10.0.0.1:9000.
 func New(base string, clk *clock.Clock) *Client {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
-	return &Client{base: base, http: c, idle: dial.NewIdle(c, clk)}
+	return &Client{base: base, http: c, idle: dial.NewIdleConns(c, clk)}
 }
 
 // response is the outcome of a call.
@@ -147,7 +147,7 @@
 	if res.StatusCode != http.StatusOK {
 		return Batch{}, fmt.Errorf("platform %s: status %d", t, res.StatusCode)
 	}
-	guard.Begin()
+	guard.MarkStarted()
 	begun()
 	body, err := whole.Read(guard.Reader(res.Body), res.ContentLength, maxResponse)
 	if err != nil {
--- a/gate/enginelist.go
+++ b/gate/enginelist.go
@@ -129,7 +129,7 @@
 func (g *Gate) listShared(now clock.Millis) bool {
 	n := g.fleet.Entries
 	inTime := drainingDuePart*float64(g.bounds().Draining) >= float64(propagationLag(n))
-	return inTime && n > fewEntries && g.listFreshness.Known() && !g.epoch.Doubts(now)
+	return inTime && n > fewEntries && g.listFreshness.Known() && !g.epoch.MayBeStale(now)
 }
 
 // propagationLag returns how long a report takes to reach the last of n entries. Each hop
--- a/gate/enginelist_test.go
+++ b/gate/enginelist_test.go
@@ -276,7 +276,7 @@
 				time.Sleep(20 * time.Second)
 				g.SetFleet(peers.Fleet{Entries: tc.entries})
 				if !tc.unready {
-					g.SetTable(table.New(table.Config{Version: 5}), table.Arrival{TrueAt: clk.Now(), Epoch: 1})
+					g.SetTable(table.New(table.Config{Version: 5}), table.Arrival{ConfirmedAt: clk.Now(), Epoch: 1})
 				}
 				if tc.report != nil {
 					g.ReceiveStatus("edge-2", *tc.report, clk.Now())
--- a/gate/epoch.go
+++ b/gate/epoch.go
@@ -33,7 +33,7 @@
 // table may still have a key that was revoked. Its responses in that time prove nothing, so
 // keys expire by the last confirmation before it.
 func (g *Gate) confirm(epoch int64, at clock.Millis) {
-	if !g.epoch.Proves(epoch, at) || g.behindOthers(at) {
+	if !g.epoch.Confirms(epoch, at) || g.behindOthers(at) {
 		return
 	}
 	g.tableFreshness.Confirm(at)
@@ -42,7 +42,7 @@
 // behindOthers reports whether another entry lately had a newer table than the one in
 // force, which the recently restored store does not show. The caller holds mu.
 func (g *Gate) behindOthers(at clock.Millis) bool {
-	return g.epoch.Later() && g.epoch.Age(at) < peerAheadMaxAge && g.peerAheadAt > 0 && at-g.peerAheadAt < peerAheadFor
+	return g.epoch.Restored() && g.epoch.Age(at) < peerAheadMaxAge && g.peerAheadAt > 0 && at-g.peerAheadAt < peerAheadFor
 }
 
 // SetStoreEpoch records that a response to a request sent at the given time was of a later
@@ -50,7 +50,7 @@
 func (g *Gate) SetStoreEpoch(epoch int64, at clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.epoch.See(epoch, at)
+	g.epoch.Observe(epoch, at)
 	g.epochMissed = false
 }
 
@@ -59,7 +59,7 @@
 func (g *Gate) StoreMayBeStale(at clock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.epoch.Doubts(at)
+	return g.epoch.MayBeStale(at)
 }
 
 // TakeMissedEpoch reports, once, that another entry has seen a later epoch.
@@ -75,7 +75,7 @@
 // returns whether the epoch is that of this entry. The store is asked for a later epoch at
 // most once in peerAheadFor, since the report may be false. The caller holds mu.
 func (g *Gate) receiveEpoch(epoch int64, since, now clock.Millis) bool {
-	if g.epoch.Told(epoch, since) && now-g.epochReportedAt > peerAheadFor {
+	if g.epoch.ObservePeer(epoch, since) && now-g.epochReportedAt > peerAheadFor {
 		g.epochMissed, g.epochReportedAt = true, now
 	}
 	return epoch == g.epoch.Number()
@@ -84,7 +84,7 @@
 // receiveConfirmation records that, by the report of a peer with the same epoch, table and
 // evacuations, they were current at the given time. The caller holds mu.
 func (g *Gate) receiveConfirmation(at clock.Millis) {
-	if !g.epoch.Doubts(at) {
+	if !g.epoch.MayBeStale(at) {
 		g.tableFreshness.Confirm(at)
 	}
 }
--- a/gate/epoch_test.go
+++ b/gate/epoch_test.go
@@ -32,10 +32,10 @@
 		}, 100},
 		"an older version, later": {func(g *gate.Gate, clk *clock.Clock) {
 			time.Sleep(2 * time.Second)
-			g.SetTable(table.New(table.Config{Version: 4}), table.Arrival{TrueAt: clk.Now(), Epoch: 2})
+			g.SetTable(table.New(table.Config{Version: 4}), table.Arrival{ConfirmedAt: clk.Now(), Epoch: 2})
 		}, 0},
 		"an older version, soon": {func(g *gate.Gate, clk *clock.Clock) {
-			g.SetTable(table.New(table.Config{Version: 4}), table.Arrival{TrueAt: clk.Now(), Epoch: 2})
+			g.SetTable(table.New(table.Config{Version: 4}), table.Arrival{ConfirmedAt: clk.Now(), Epoch: 2})
 		}, 2000},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -138,8 +138,8 @@
 	evacuated []string
 	// tableFreshness is when the table and the evacuations, which are read together, were
 	// last known to be current; listFreshness is the same for the list of engines.
-	tableFreshness fresh.Belief
-	listFreshness  fresh.Belief
+	tableFreshness fresh.Tracker
+	listFreshness  fresh.Tracker
 	list           listState
 	// changes holds the recent changes of the list. It has its own lock.
 	changes changes.Log
@@ -283,7 +283,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ready := t != nil && g.listFreshness.Known() && !g.shutdown.started()
-	if ready && t.Keyed() {
+	if ready && t.RequiresKey() {
 		ready = g.tableFreshness.Within(g.maxKeyAge(), now)
 	}
 	ready = ready && g.knowsEvacuations(now) && g.outdated(now) == 0
--- a/gate/place.go
+++ b/gate/place.go
@@ -22,7 +22,7 @@
 	}
 	bound, slack := engines.AffinityBound(g.bounds().LoadBound)
 	service, _ := c.table.Service(c.service)
-	cost := engines.Cost{Prefill: g.prefillMillis(c.service), Transfer: service.MoveTime}
+	cost := engines.Cost{Prefill: g.prefillMillis(c.service), Transfer: service.TransferTimePerToken}
 	ch, ok := g.registry.Choose(engines.Query{
 		Service: c.service, Keys: c.prefixKeys, Tokens: c.prefixTokens, Cost: cost, Bound: bound, Slack: slack,
 		MaxSilence: maxSilence(c.route), Warmup: g.warmup(c), Tried: c.tried, Isolated: isolated, Random: random(),
@@ -39,7 +39,7 @@
 	c.tried, c.isolated = append(c.tried, in.ID), isolated
 	c.chosenBy, c.sentBefore, c.engineLoad, c.meanLoad = ch.Basis, ch.PrefixSent, ch.Load, ch.Mean
 	p := pick{Info: in}
-	if service.Moves && ch.Source != nil {
+	if service.PrefixTransfer && ch.Source != nil {
 		p.source = ch.Source.Info().Addr
 	}
 	c.hasSource, c.fetchCostsMore, c.prefillMillis = p.source != "", ch.FetchTooCostly, cost.Prefill
@@ -60,7 +60,7 @@
 
 // maxSilence returns how long an engine may leave requests without output before a request
 // of the route goes to another engine.
-func maxSilence(r *table.Route) clock.Millis { return silenceGoals * r.GoalOrUsual() }
+func maxSilence(r *table.Route) clock.Millis { return silenceGoals * r.GoalOrDefault() }
 
 // recordActivity records that an engine sent something, with its reported load, if any.
 func (g *Gate) recordActivity(n engines.Incarnation, load string) {
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -61,7 +61,7 @@
 // ReadTimeout implements relay.Exchange.
 func (x exchange) ReadTimeout() clock.Millis {
 	left := x.TimeLeft()
-	if r := x.c.route; r.Repeatable() && x.c.ran < r.Attempts {
+	if r := x.c.route; r.Retryable() && x.c.ran < r.Attempts {
 		return min(left, max(minStreamSilence, clock.Millis(streamSilencePauses*float64(r.PauseGoal))))
 	}
 	return left
--- a/gate/relay/relay.go
+++ b/gate/relay/relay.go
@@ -66,7 +66,7 @@
 // so that a response that breaks off early can be reported as a failure or retried
 // elsewhere.
 func (p *Reply) Relay(ctx context.Context, x Exchange, resp *http.Response, body Body) attempt.Outcome {
-	p.observed = Observed{Framing: framing.Of(resp)}
+	p.observed = Observed{Framing: framing.OfResponse(resp)}
 	switch {
 	case x.WantsStream() && resp.StatusCode == http.StatusOK && hasEvents(resp.Header):
 		return p.relayStream(ctx, x, resp, body)
@@ -199,7 +199,7 @@
 
 // end records how a response ended from the error that ended reading it.
 func (p *Reply) end(err error) {
-	p.observed.End = p.observed.Framing.End(err)
+	p.observed.End = p.observed.Framing.Completeness(err)
 	if p.splitter.MidEvent() {
 		p.observed.End, p.observed.PartialBytes = framing.Incomplete, len(p.splitter.Pending())
 	}
--- a/gate/relay/relay_test.go
+++ b/gate/relay/relay_test.go
@@ -98,10 +98,10 @@
 		reset  bool
 		// outcome is "answered", "failed" or "broken".
 		outcome string
-		ended   framing.End
+		ended   framing.Completeness
 		partial int
 		// seen is the end from the caller's point of view, "" if the reply has not begun.
-		seen framing.End
+		seen framing.Completeness
 		body string
 	}{
 		{"length", false, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell", false, "answered", framing.Complete, 0, framing.Complete, "well"},
--- a/gate/relay/reply.go
+++ b/gate/relay/reply.go
@@ -55,7 +55,7 @@
 	// Framing is "" before the response has begun.
 	Framing framing.Framing
 	// End is "" before the response has ended.
-	End framing.End
+	End framing.Completeness
 	// PartialBytes is the number of bytes of an event that a stream ended within.
 	PartialBytes int
 }
@@ -86,7 +86,7 @@
 
 // EndForCaller returns how the reply ends from the caller's point of view, "" before it has
 // begun.
-func (p *Reply) EndForCaller() framing.End {
+func (p *Reply) EndForCaller() framing.Completeness {
 	switch {
 	case !p.Started():
 		return ""
--- a/gate/request.go
+++ b/gate/request.go
@@ -26,7 +26,7 @@
 			h[k] = v
 		}
 	}
-	if c.table.Keyed() && !c.route.Public {
+	if c.table.RequiresKey() && !c.route.Public {
 		delete(h, "Authorization")
 	}
 	h.Set(g.wire.Deadline, strconv.FormatInt(int64(max(1, c.timeLeft(now))), 10))
--- a/gate/resolve.go
+++ b/gate/resolve.go
@@ -82,7 +82,7 @@
 		limit = min(limit, c.callerTimeout)
 	}
 	c.giveUpAt = c.start + limit
-	if route.Affine {
+	if route.PromptAffinity {
 		parts := prompt.Parse(c.r.Header.Get(g.wire.Prompt))
 		c.prefixKeys, c.prefixTokens, c.suffixTokens = prompt.PrefixKeys(parts), prompt.PrefixTokens(parts), prompt.SuffixTokens(parts)
 	}
@@ -90,7 +90,7 @@
 	if n := len(c.prefixKeys); n > 0 {
 		pickKey = strconv.FormatUint(c.prefixKeys[n-1], 16)
 	}
-	c.service = route.Pick(pickKey)
+	c.service = route.PickService(pickKey)
 	return nil
 }
 
@@ -136,7 +136,7 @@
 // authorise finds the workspace of the key. Keys are accepted only while the age of the
 // table is below the bound for revoked keys.
 func (g *Gate) authorise(_ context.Context, c *call) *verdict.Error {
-	if !c.table.Keyed() || c.route.Public {
+	if !c.table.RequiresKey() || c.route.Public {
 		return nil
 	}
 	now := g.clk.Now()
@@ -185,7 +185,7 @@
 	case err != nil:
 		return verdict.New(verdict.NotRun, verdict.BadRequest, "the body is incomplete: %w", err)
 	}
-	_ = c.rc.SetReadDeadline(clock.Never())
+	_ = c.rc.SetReadDeadline(clock.NoDeadline())
 	c.body = body
 	return nil
 }
--- a/gate/send.go
+++ b/gate/send.go
@@ -174,7 +174,7 @@
 // that may be retried does not wait for an engine that hangs.
 func (g *Gate) responseTimeout(c *call, now clock.Millis) clock.Millis {
 	left := c.timeLeft(now)
-	if c.route.Repeatable() && c.ran+1 < c.route.Attempts && c.route.Goal > 0 {
+	if c.route.Retryable() && c.ran+1 < c.route.Attempts && c.route.Goal > 0 {
 		return min(left, responseTimeoutGoals*c.route.Goal)
 	}
 	return left
@@ -195,10 +195,10 @@
 		retryable = c.refused < maxRefused
 		final = verdict.New(c.verdict(), verdict.Overloaded, "%d engines of %s rejected the request", c.refused, c.service)
 	case attempt.Broken:
-		retryable = c.route.Repeatable() && c.ran < c.route.Attempts && c.suspect().Crashes() < maxCrashes && c.reply.CanContinue()
+		retryable = c.route.Retryable() && c.ran < c.route.Attempts && c.suspect().Crashes() < maxCrashes && c.reply.CanContinue()
 		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s: %w", e.ID, o.Err)
 	case attempt.Failed:
-		retryable = c.route.Repeatable() && c.ran < c.route.Attempts
+		retryable = c.route.Retryable() && c.ran < c.route.Attempts
 		final = verdict.New(c.verdict(), verdict.EngineFailed, "engine %s responded with status %d", e.ID, o.Response.Status)
 	}
 	left := c.timeLeft(now)
--- a/gate/status_test.go
+++ b/gate/status_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	clk := clock.System()
 	g := gate.New(gate.Config{Clock: clk, Log: slog.New(slog.DiscardHandler), Bounds: gate.Bounds{Revocation: 5000, Change: 2000}})
-	g.SetTable(table.New(table.Config{Version: 5}), table.Arrival{TrueAt: clk.Now()})
+	g.SetTable(table.New(table.Config{Version: 5}), table.Arrival{ConfirmedAt: clk.Now()})
 	g.SetFleet(peers.Fleet{Entries: manyEntries, First: first})
 	return g, clk
 }
--- a/gate/table.go
+++ b/gate/table.go
@@ -17,7 +17,7 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if a.Epoch > g.tableEpoch {
-			g.confirm(a.Epoch, a.TrueAt)
+			g.confirm(a.Epoch, a.ConfirmedAt)
 		}
 		return
 	}
@@ -25,7 +25,7 @@
 	g.table.Store(t)
 	g.mu.Lock()
 	g.tableEpoch = a.Epoch
-	g.confirm(a.Epoch, a.TrueAt)
+	g.confirm(a.Epoch, a.ConfirmedAt)
 	if newer {
 		g.announcedAt = 0
 	}
@@ -101,12 +101,12 @@
 // logTable logs and counts how the version in force arrived.
 func (g *Gate) logTable(t *table.Table, a table.Arrival) {
 	now := g.clk.Now()
-	g.log.Info("table_in_force", "version", t.Version(), "age_ms", now-a.TrueAt, "bytes", a.Bytes, "heard_ms", now-a.HeardAt,
-		"transfer_ms", a.Transfer, "decode_us", a.Decoding, "build_us", a.Building)
+	g.log.Info("table_in_force", "version", t.Version(), "age_ms", now-a.ConfirmedAt, "bytes", a.Bytes, "heard_ms", now-a.ResponseStartedAt,
+		"transfer_ms", a.Transfer, "decode_us", a.DecodeMicros, "build_us", a.BuildMicros)
 	g.counts.table.bytes.Update(float64(a.Bytes))
 	g.counts.table.transfer.Update(inSeconds(a.Transfer))
-	g.counts.table.decoding.Update(float64(a.Decoding) / microsPerSecond)
-	g.counts.table.building.Update(float64(a.Building) / microsPerSecond)
+	g.counts.table.decoding.Update(float64(a.DecodeMicros) / microsPerSecond)
+	g.counts.table.building.Update(float64(a.BuildMicros) / microsPerSecond)
 }
 
 const microsPerSecond = 1_000_000
--- a/gate/unresponsive.go
+++ b/gate/unresponsive.go
@@ -31,8 +31,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
-	wait := max(clock.Millis(healthCheckGoalPart*float64(c.route.GoalOrUsual())), g.durations.MaxTimeToFirstOutput(c.route))
-	stop := clock.AfterUnless(wait, func() {
+	wait := max(clock.Millis(healthCheckGoalPart*float64(c.route.GoalOrDefault())), g.durations.MaxTimeToFirstOutput(c.route))
+	stop := clock.AfterFuncWithStop(wait, func() {
 		defer close(done)
 		if g.isUnresponsive(ctx, e, service.HealthPath, sent) {
 			g.guard.RecordUnresponsive(c.suspect(), e.Incarnation().Hash(), e.ID, sent)
--- a/integration/endings_test.go
+++ b/integration/endings_test.go
@@ -128,7 +128,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(res.Body)
-	return seen{status: res.StatusCode, framed: framing.Of(res), body: string(body), end: err}
+	return seen{status: res.StatusCode, framed: framing.OfResponse(res), body: string(body), end: err}
 }
 
 func service(f *fleettest.Fleet, path string) request {
--- a/internal/clocktest/hands.go
+++ b/internal/clocktest/hands.go
@@ -21,7 +21,7 @@
 	boots  int
 }
 
-var _ clock.Hands = (*Hands)(nil)
+var _ clock.Source = (*Hands)(nil)
 
 // New returns hands that nothing has moved.
 func New() *Hands { return &Hands{start: time.Now()} }
@@ -51,7 +51,7 @@
 	return h.boots
 }
 
-// Read implements clock.Hands.
+// Read implements clock.Source.
 func (h *Hands) Read() (steady, day time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,8 +59,8 @@
 	return steady, steady + h.suspended + h.set
 }
 
-// Boot implements clock.Hands.
-func (h *Hands) Boot() (time.Duration, bool) {
+// SinceBoot implements clock.Source.
+func (h *Hands) SinceBoot() (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.boots++
--- a/internal/clocktest/process.go
+++ b/internal/clocktest/process.go
@@ -38,7 +38,7 @@
 			h.read()
 		}
 	}()
-	clock.Replace(func() clock.Hands { return h })
+	clock.SetSystemSource(func() clock.Source { return h })
 }
 
 // fileHands are the machine's hands of which the steady one lags.
@@ -62,11 +62,11 @@
 	}
 }
 
-// Read implements clock.Hands.
+// Read implements clock.Source.
 func (h *fileHands) Read() (steady, day time.Duration) {
 	now := time.Now()
 	return now.Sub(h.start) - time.Duration(h.out.Load()-h.before), time.Duration(now.UnixNano())
 }
 
-// Boot implements clock.Hands.
-func (h *fileHands) Boot() (time.Duration, bool) { return time.Since(h.start), true }
+// SinceBoot implements clock.Source.
+func (h *fileHands) SinceBoot() (time.Duration, bool) { return time.Since(h.start), true }
--- a/link/codec.go
+++ b/link/codec.go
@@ -108,7 +108,7 @@
 	}
 	if !s.flushDue {
 		s.flushDue = true
-		clock.After(flushDelay, s.flush)
+		clock.AfterFunc(flushDelay, s.flush)
 	}
 	return nil
 }
--- a/link/link.go
+++ b/link/link.go
@@ -232,7 +232,7 @@
 		if e.err != nil {
 			return nil, e.err
 		}
-		if e.conn.silentSince(p.clk.Woke()) {
+		if e.conn.silentSince(p.clk.ResumedAt()) {
 			e.conn.Close()
 		}
 		if !e.conn.ended() {
@@ -376,7 +376,7 @@
 	if _, err := io.ReadFull(nc, b[:]); err != nil {
 		return "", err
 	}
-	_ = nc.SetReadDeadline(clock.Never())
+	_ = nc.SetReadDeadline(clock.NoDeadline())
 	if b[0] == classByte[Control] {
 		return Control, nil
 	}
--- a/measure/soak/export_test.go
+++ b/measure/soak/export_test.go
@@ -53,7 +53,7 @@
 const EveryGate = everyGate
 
 // ReadMessage reads an answer as a caller on a plain socket does.
-func ReadMessage(answer, by string) (body string, end framing.End, fault string) {
+func ReadMessage(answer, by string) (body string, end framing.Completeness, fault string) {
 	m := readMessage(bufio.NewReader(strings.NewReader(answer)), proto(by))
 	return string(m.body), m.end, m.fault
 }
@@ -68,7 +68,7 @@
 	// Body is what came, and Sent how much the engine sent: all if they are zero.
 	Body        string
 	Sent        int
-	End, Ran    framing.End
+	End, Ran    framing.Completeness
 	Unsigned    bool
 	Fault       string
 	Took        time.Duration
--- a/measure/soak/frames.go
+++ b/measure/soak/frames.go
@@ -37,7 +37,7 @@
 	header textproto.MIMEHeader
 	body   []byte
 	// end is how it ended by its own framing, and err why it is incomplete.
-	end framing.End
+	end framing.Completeness
 	err error
 	// fault is what the framing must not have, "" if it is sound.
 	fault string
@@ -89,7 +89,7 @@
 	return m
 }
 
-func (m *message) endsBy(end framing.End) {
+func (m *message) endsBy(end framing.Completeness) {
 	if m.err == nil {
 		m.end = end
 	}
--- a/measure/soak/frames_test.go
+++ b/measure/soak/frames_test.go
@@ -12,7 +12,7 @@
 func TestCallersReadFrames(t *testing.T) {
 	cases := []struct {
 		name, proto, answer, body string
-		end                       framing.End
+		end                       framing.Completeness
 		faulty                    bool
 	}{
 		{name: "length", answer: "Content-Length: 4\r\n\r\nbody", body: "body", end: framing.Complete},
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -30,7 +30,7 @@
 	// by is how the caller sent it.
 	by proto
 	// end is how the answer ended for the caller by its framing, "" if it did not begin.
-	end framing.End
+	end framing.Completeness
 	// whole is true when the answer is told as complete, or ended with its connection and is
 	// the request's own.
 	whole bool
--- a/settings/branch.go
+++ b/settings/branch.go
@@ -84,8 +84,8 @@
 // Path returns where the branch is in the tree.
 func (b *Branch) Path() string { return b.path }
 
-// Names reports whether the branch sets the dotted key.
-func (b *Branch) Names(key string) bool {
+// Sets reports whether the branch sets the dotted key.
+func (b *Branch) Sets(key string) bool {
 	_, ok := slices.BinarySearch(b.keys, key)
 	return ok
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/weldfall/weldfall/settings"
 )
 
-func apply(t *testing.T, tree *settings.Tree, path, text string, rev int64) settings.Applied {
+func apply(t *testing.T, tree *settings.Tree, path, text string, rev int64) settings.ApplyResult {
 	t.Helper()
 	got, _ := tree.Apply(path, text, rev)
 	return got
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -53,22 +53,22 @@
 	return &Tree{entries: map[string]*entry{}, resolved: map[string]cached{}}
 }
 
-// Applied says what became of a value.
-type Applied string
+// ApplyResult says what became of a value.
+type ApplyResult string
 
 const (
 	// InForce means that the value is now in force.
-	InForce Applied = "in_force"
+	InForce ApplyResult = "in_force"
 	// Older means that a newer value is known; nothing changed.
-	Older Applied = "older"
+	Older ApplyResult = "older"
 	// Invalid means that the last good value stays in force.
-	Invalid Applied = "invalid"
+	Invalid ApplyResult = "invalid"
 )
 
 // Apply takes the text of a branch with the platform's revision. Values that
 // are not newer than the known one change nothing. On Invalid the error says
 // why, and the last good value stays in force.
-func (t *Tree) Apply(path, text string, rev int64) (Applied, error) {
+func (t *Tree) Apply(path, text string, rev int64) (ApplyResult, error) {
 	e := t.entries[path]
 	if e == nil {
 		e = &entry{}
@@ -87,9 +87,9 @@
 	return InForce, nil
 }
 
-// ApplyGood takes the last valid value of a branch whose newer value is not
+// ApplyLastGood takes the last valid value of a branch whose newer value is not
 // valid, as a peer remembers it. The newest valid one known stays in force.
-func (t *Tree) ApplyGood(path, text string, rev int64) error {
+func (t *Tree) ApplyLastGood(path, text string, rev int64) error {
 	e := t.entries[path]
 	if e == nil {
 		e = &entry{}
@@ -108,7 +108,7 @@
 }
 
 // Remove takes the deletion of a branch at revision rev.
-func (t *Tree) Remove(path string, rev int64) Applied {
+func (t *Tree) Remove(path string, rev int64) ApplyResult {
 	e := t.entries[path]
 	if e == nil {
 		e = &entry{}
@@ -149,7 +149,7 @@
 			continue
 		}
 		for _, k := range e.good.locks {
-			if b.Names(k) {
+			if b.Sets(k) {
 				return strict.LineError(b.path, b.text, k, fmt.Sprintf("is locked by %q: remove it or ask the owner of that branch", above))
 			}
 		}
@@ -321,8 +321,8 @@
 	return e.good.text, e.goodRev, true
 }
 
-// Has reports whether a value for path was seen, valid or not.
-func (t *Tree) Has(path string) bool { return t.entries[path] != nil }
+// Seen reports whether a value for path was seen, valid or not.
+func (t *Tree) Seen(path string) bool { return t.entries[path] != nil }
 
 // Paths lists the branches that have a value in force, sorted.
 func (t *Tree) Paths() []string {
@@ -336,19 +336,19 @@
 	return out
 }
 
-// ErrKey is returned for a bearer key that names no workspace or is wrong.
-var ErrKey = errors.New("unknown bearer key: ask the owner of the workspace for one")
+// ErrInvalidKey is returned for a bearer key that names no workspace or is wrong.
+var ErrInvalidKey = errors.New("unknown bearer key: ask the owner of the workspace for one")
 
 // WorkspaceOfKey returns the path in a bearer key of the form
 // partner.workspace.secret, without checking the secret.
 func WorkspaceOfKey(key string) (string, error) {
 	parts := strings.SplitN(key, ".", 3)
 	if len(parts) != 3 || parts[2] == "" {
-		return "", ErrKey
+		return "", ErrInvalidKey
 	}
 	path := parts[0] + "/" + parts[1]
 	if CheckPath(path) != nil {
-		return "", ErrKey
+		return "", ErrInvalidKey
 	}
 	return path, nil
 }
@@ -365,7 +365,7 @@
 			return path, nil
 		}
 	}
-	return "", ErrKey
+	return "", ErrInvalidKey
 }
 
 // HashKey returns the hex SHA-256 of a bearer key, as branches hold it.
--- a/standin/service/ending_test.go
+++ b/standin/service/ending_test.go
@@ -66,5 +66,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(got), framing.Of(res)
+	return string(got), framing.OfResponse(res)
 }
--- a/table/table.go
+++ b/table/table.go
@@ -55,8 +55,8 @@
 	Attempts int
 	// Public routes need no key.
 	Public bool
-	// Affine requests name the parts of their prompt, which engines keep.
-	Affine bool
+	// PromptAffinity requests name the parts of their prompt, which engines keep.
+	PromptAffinity bool
 	// Resumable streams may go on at another engine.
 	Resumable bool
 }
@@ -64,12 +64,12 @@
 // usualGoal stands for the goal of a route that publishes none.
 const usualGoal clock.Millis = 500
 
-// GoalOrUsual returns the goal, or what stands for it where none is published.
-func (r *Route) GoalOrUsual() clock.Millis { return cmp.Or(r.Goal, usualGoal) }
+// GoalOrDefault returns the goal, or what stands for it where none is published.
+func (r *Route) GoalOrDefault() clock.Millis { return cmp.Or(r.Goal, usualGoal) }
 
-// Repeatable reports whether a request may be sent to a second engine after
+// Retryable reports whether a request may be sent to a second engine after
 // the first may have run it.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
@@ -81,11 +81,11 @@
 	// HealthPath is where its engines say whether they are healthy, "" if that is not
 	// published.
 	HealthPath string
-	// Moves is true if its engines take what others keep of a prompt.
-	Moves bool
-	// MoveTime is how long an engine takes to have one token of a prompt from another of
+	// PrefixTransfer is true if its engines take what others keep of a prompt.
+	PrefixTransfer bool
+	// TransferTimePerToken is how long an engine takes to have one token of a prompt from another of
 	// its data hall, in milliseconds; zero if that is not published.
-	MoveTime float64
+	TransferTimePerToken float64
 	// EventTokens is how many tokens an event of a stream holds; the last may
 	// hold fewer. Zero if that is not published.
 	EventTokens int
@@ -120,27 +120,27 @@
 	Version  int64
 	Routes   []*Route
 	Services []Service
-	// Keyed is true when requests need a key, even if no key is left.
-	Keyed      bool
+	// RequireKey is true when requests need a key, even if no key is left.
+	RequireKey bool
 	Workspaces []*Workspace
 	Limits     Limits
 }
 
 // Arrival tells how a version came to this process.
 type Arrival struct {
-	// TrueAt is the latest time at which it is known to have been the newest.
-	TrueAt clock.Millis
+	// ConfirmedAt is the latest time at which it is known to have been the newest.
+	ConfirmedAt clock.Millis
 	// Epoch is that of the source which the answer that brought it was of, zero if it
 	// tells none.
 	Epoch int64
-	// HeardAt is when the answer that brought it began, zero if that is not known.
-	HeardAt clock.Millis
+	// ResponseStartedAt is when the answer that brought it began, zero if that is not known.
+	ResponseStartedAt clock.Millis
 	// Bytes is the size of that answer and Transfer how long it took.
 	Bytes    int
 	Transfer clock.Millis
-	// Decoding and Building are what it took to read the answer's text and to
+	// DecodeMicros and BuildMicros are what it took to read the answer's text and to
 	// make the Table, in microseconds.
-	Decoding, Building int64
+	DecodeMicros, BuildMicros int64
 }
 
 // place is where requests come in: a host, in lower case, and a prefix of the path.
@@ -165,7 +165,7 @@
 // others, and the first of two routes with the same.
 func New(cfg Config) *Table {
 	t := &Table{
-		version: cfg.Version, limits: cfg.Limits, keyed: cfg.Keyed,
+		version: cfg.Version, limits: cfg.Limits, keyed: cfg.RequireKey,
 		routes: make(map[place]*Route, len(cfg.Routes)), others: map[string][]*Route{}, services: map[string]Service{}, byKey: map[string]*Workspace{},
 	}
 	for _, r := range cfg.Routes {
@@ -217,8 +217,8 @@
 // Limits returns the bounds for callers.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Keyed reports whether requests need a key, but on public routes.
-func (t *Table) Keyed() bool { return t.keyed }
+// RequiresKey reports whether requests need a key, but on public routes.
+func (t *Table) RequiresKey() bool { return t.keyed }
 
 // Route returns the route of a host, with or without a port, and a path, or
 // false if there is none.
@@ -264,9 +264,9 @@
 	return s, ok
 }
 
-// Pick chooses one of the route's services by weight. Every process gives
+// PickService chooses one of the route's services by weight. Every process gives
 // equal keys the same service.
-func (r *Route) Pick(key string) string {
+func (r *Route) PickService(key string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
 	}
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -9,7 +9,7 @@
 )
 
 func routes() *table.Table {
-	return table.New(table.Config{Version: 3, Keyed: true, Routes: []*table.Route{
+	return table.New(table.Config{Version: 3, RequireKey: true, Routes: []*table.Route{
 		{Name: "short", Host: "A.example", Prefix: "/a/"},
 		{Name: "long", Host: "a.example", Prefix: "/a/b/"},
 		{Name: "other", Host: "b.example", Prefix: "/"},
@@ -61,7 +61,7 @@
 	got := map[string]int{}
 	const n = 10_000
 	for i := range n {
-		got[r.Pick(fmt.Sprint(i))]++
+		got[r.PickService(fmt.Sprint(i))]++
 	}
 	if got["a"] < 8700 || got["a"] > 9300 || got["c"] != 0 || got["a"]+got["b"] != n {
 		t.Errorf("got %v of %d, want about 9000, 1000 and none", got, n)
