--- a/route/admit.go
+++ b/route/admit.go
@@ -2,45 +2,45 @@
 
 import "github.com/weldfall/weldfall/link/wire"
 
-// Offer is a request at the daemon of the engine it was sent to.
+// Offer is a request for an engine, as the engine's daemon receives it.
 type Offer struct {
 	Chat uint64
 	Mode wire.Mode
 }
 
-// State is what the daemon knows for certain or believes of its engine.
+// State is the state of an engine and its pool as the engine's daemon knows it.
 type State struct {
 	Engine string
-	// Requests is the exact number running or waiting here.
+	// Requests is the exact number of running and waiting requests.
 	Requests int
 	Slots    int
-	// Mean is the pool's mean load per slot, below zero if unknown; Engines
-	// is the pool's size.
+	// Mean is the pool's mean load per slot, negative if it is unknown. Engines is the
+	// number of engines in the pool.
 	Mean     float64
 	Engines  int
 	Bound    float64
 	Floor    int
 	Draining bool
-	// UnderShare is true when the requester's partner has less than its share of an
-	// engine where others wait; their queue is not held against it.
+	// UnderShare is true if the request's partner has less than its share of the engine
+	// while others wait. The load limit doesn't apply then, because the queue is theirs.
 	UnderShare bool
 }
 
-// Admission is what the daemon makes of an offer: Admit, Redirect or Refuse.
+// Admission is a daemon's decision on an offer: Admit, Redirect or Refuse.
 type Admission interface{ admission() }
 
-// Admit takes the request.
+// Admit accepts the request.
 type Admit struct{}
 
-// Redirect names the engine where the chat's latest turn ran. Cached is what
-// this engine still holds of earlier turns, in tokens.
+// Redirect names the engine that ran the chat's latest turn. Cached is the number of
+// tokens of earlier turns that this engine still caches.
 type Redirect struct {
 	Engine string
 	Cached int
 }
 
-// Refuse turns the request away, for the load or because the engine leaves,
-// or because it has nothing of the chat.
+// Refuse rejects the request because the engine drains, has nothing of the chat cached, or
+// is over its load limit.
 type Refuse struct {
 	Draining  bool
 	NotCached bool
@@ -51,16 +51,16 @@
 func (Redirect) admission() {}
 func (Refuse) admission()   {}
 
-// Decide answers an offer. The daemon is authoritative: entries act on old
-// views, and this is where a wrong guess is put right.
-func Decide(o Offer, s State, b *CacheIndex) Admission {
+// Decide returns a daemon's decision on an offer. It is authoritative: entries choose
+// engines by stale views, and this decision corrects them.
+func Decide(o Offer, s State, index *CacheIndex) Admission {
 	if s.Draining {
 		return Refuse{Draining: true}
 	}
 	if o.Mode == wire.ModeCachedOnly {
-		cached := b.CachedTokens(o.Chat)
-		if at := b.Placement(o.Chat); at != "" && at != s.Engine {
-			return Redirect{Engine: at, Cached: cached}
+		cached := index.CachedTokens(o.Chat)
+		if engine := index.Placement(o.Chat); engine != "" && engine != s.Engine {
+			return Redirect{Engine: engine, Cached: cached}
 		}
 		if cached == 0 {
 			return Refuse{NotCached: true}
--- a/route/rank.go
+++ b/route/rank.go
@@ -1,11 +1,10 @@
-// Package route chooses the engine of a request. It is pure: the time, the
-// loads and the list of engines are handed in, so that any test or replay can
-// drive it.
+// Package route chooses the engine of a request. Its functions are pure: they take the
+// time, the loads and the engines as arguments, so that tests and replays can call them.
 //
-// Every entry ranks the engines of a pool for a chat by weighted rendezvous
-// hashing, so that all agree without talking and a change of one engine moves
-// only that engine's chats. Loads bound the choice as in consistent hashing
-// with bounded loads; the daemon beside the engine has the last word.
+// Every entry ranks the engines of a pool for a chat by weighted rendezvous hashing. All
+// entries agree on the ranking without communication, and a change of one engine moves
+// only that engine's chats. The choice is bounded by load, as in consistent hashing with
+// bounded loads. The engine's daemon makes the final decision.
 package route
 
 import (
@@ -16,32 +15,31 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Target is one engine, or one instance of a plain service, that requests can
-// go to.
+// Target is an engine or an instance of a plain service.
 type Target struct {
 	id   string
 	hash uint64
-	// slots is the number of requests that run at once, at least 1.
+	// slots is the number of requests that run concurrently, at least 1.
 	slots int
 }
 
-// NewTarget returns the target with the given id and slots.
+// NewTarget returns a target with the given ID and at least one slot.
 func NewTarget(id string, slots int) Target {
 	return Target{id: id, hash: xxh3.HashString(id), slots: max(1, slots)}
 }
 
-// ID returns the engine's id.
+// ID returns the ID of the engine or instance.
 func (t Target) ID() string { return t.id }
 
-// Slots returns the number of requests that run at once.
+// Slots returns the number of requests that run concurrently.
 func (t Target) Slots() int { return t.slots }
 
-// ChatKey hashes a chat's identity within its workspace. It is never zero.
+// ChatKey returns the hash of a chat within its workspace. It is never zero.
 func ChatKey(workspace, chat string) uint64 {
 	return max(1, xxh3.HashString(workspace+"\x00"+chat))
 }
 
-// mix is the finalizer of SplitMix64; it spreads key and target evenly.
+// mix is the finalizer of SplitMix64. It distributes keys and targets evenly.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -50,12 +48,12 @@
 	return x ^ x>>31
 }
 
-// uniform maps key and target to a number between 0 and 1, ends excluded.
+// uniform maps key and t to a number in the open interval (0, 1).
 func uniform(key uint64, t Target) float64 {
 	return (float64(mix(key^t.hash)>>11) + 0.5) / (1 << 53)
 }
 
-// score is the weighted rendezvous score -w/ln(u); the largest wins.
+// score returns the weighted rendezvous score -w/ln(u). The highest ranks first.
 func score(u float64, slots int) float64 { return -float64(slots) / math.Log(u) }
 
 // Rank returns the indexes of the n best targets for key, best first.
@@ -63,45 +61,44 @@
 	return RankBy(key, targets, func(t Target) Target { return t }, n)
 }
 
-// RankBy is Rank for what has targets. It takes one pass over them and allocates only
-// its result. A logarithm is taken only for a target that may be among the best: the
-// least u that beats the worst of them is kept for the latest number of slots. Where
-// many are asked for, all are scored and sorted.
-func RankBy[T any](key uint64, in []T, target func(T) Target, n int) []int {
-	n = min(n, len(in))
+// RankBy returns the indexes of the n best items for key, best first, by the targets that
+// belong to them. For small n, it makes one pass and allocates only its result. It avoids
+// the logarithm for most targets: it caches the minimum u that beats the worst of the best
+// n so far, for the latest number of slots. For large n, it scores and sorts all items.
+func RankBy[T any](key uint64, items []T, target func(T) Target, n int) []int {
+	n = min(n, len(items))
 	if n == 0 {
 		return nil
 	}
-	if n > mostInserted {
-		return sorted(key, in, target)[:n]
+	if n > maxInserted {
+		return rankAll(key, items, target)[:n]
 	}
 	top := make([]ranked, 0, n+1)
-	least, leastSlots := 0.0, 0
-	for i, x := range in {
+	minU, minUSlots := 0.0, 0
+	for i, x := range items {
 		t := target(x)
 		u := uniform(key, t)
 		full := len(top) == n
-		if full && t.slots != leastSlots {
-			least, leastSlots = math.Exp(-float64(t.slots)/top[n-1].score), t.slots
+		if full && t.slots != minUSlots {
+			minU, minUSlots = math.Exp(-float64(t.slots)/top[n-1].score), t.slots
 		}
-		if full && u <= least {
+		if full && u <= minU {
 			continue
 		}
 		top = insert(top, ranked{i, score(u, t.slots)}, n)
-		leastSlots = 0
+		minUSlots = 0
 	}
 	return indexes(top)
 }
 
-// mostInserted is how many of the best are kept in order while the others are passed
-// over: the time for it grows with their square, and for one more than a few dozen it is
-// cheaper to sort all.
-const mostInserted = 64
+// maxInserted is the largest n for which RankBy inserts into an ordered list. The time for
+// that grows with n squared, and beyond a few dozen it is cheaper to sort all items.
+const maxInserted = 64
 
-// sorted returns the indexes of all, best first; of equal ones the earlier stays.
-func sorted[T any](key uint64, in []T, target func(T) Target) []int {
-	all := make([]ranked, len(in))
-	for i, x := range in {
+// rankAll returns the indexes of all items, best first. Equal items keep their order.
+func rankAll[T any](key uint64, items []T, target func(T) Target) []int {
+	all := make([]ranked, len(items))
+	for i, x := range items {
 		t := target(x)
 		all[i] = ranked{i, score(uniform(key, t), t.slots)}
 	}
@@ -122,12 +119,12 @@
 	score float64
 }
 
-// insert keeps the n best, best first; of equal ones the earlier stays.
+// insert adds r to the n best, which are ordered best first. Equal items keep their order.
 func insert(top []ranked, r ranked, n int) []ranked {
-	at := len(top)
-	for at > 0 && top[at-1].score < r.score {
-		at--
+	i := len(top)
+	for i > 0 && top[i-1].score < r.score {
+		i--
 	}
-	top = slices.Insert(top, at, r)
+	top = slices.Insert(top, i, r)
 	return top[:min(n, len(top))]
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-func TestAChangeOfOneEngineMovesOnlyItsChats(t *testing.T) {
+func TestRankStability(t *testing.T) {
 	const keys = 6000
 	ts := targets(12)
 	before := homes(ts, keys)
@@ -52,16 +52,16 @@
 	}
 }
 
-func TestRankDoesNotDependOnTheOrderOfTheList(t *testing.T) {
+func TestRankIgnoresInputOrder(t *testing.T) {
 	ts := targets(12)
-	other := slices.Clone(ts)
-	slices.Reverse(other)
-	if got, want := homes(other, 500), homes(ts, 500); !slices.Equal(got, want) {
-		t.Error("got other homes for a reversed list")
+	reversed := slices.Clone(ts)
+	slices.Reverse(reversed)
+	if got, want := homes(reversed, 500), homes(ts, 500); !slices.Equal(got, want) {
+		t.Error("got other homes for the reversed list, want the same")
 	}
 }
 
-func TestUnequalEnginesGetTheirShareOfChats(t *testing.T) {
+func TestRankWeights(t *testing.T) {
 	ts := append(targets(4), route.NewTarget("half", 8))
 	n := 0
 	for _, h := range homes(ts, 9000) {
@@ -74,15 +74,15 @@
 	}
 }
 
-func TestLimitAllowsWholeRequestsAtSmallMeans(t *testing.T) {
+func TestLimit(t *testing.T) {
 	for _, c := range []struct {
 		mean        float64
 		floor, want int
 	}{
-		{0, 1, 1},    // an idle pool takes a request
+		{0, 1, 1},    // an idle pool admits a request
 		{0, 2, 2},    // the floor
-		{0.1, 2, 3},  // 1.6 requests an engine: 1.25*(1.6+1/12) rounds up
-		{0.5, 2, 11}, // 8 an engine
+		{0.1, 2, 3},  // 1.6 requests per engine: 1.25*(1.6+1/12) rounds up
+		{0.5, 2, 11}, // 8 per engine
 	} {
 		if got := route.Limit(1.25, c.mean, c.floor, 16, 12); got != c.want {
 			t.Errorf("mean %v floor %d: got %d, want %d", c.mean, c.floor, got, c.want)
@@ -100,20 +100,20 @@
 	}
 }
 
-func TestAReturningChatIsSoughtWhereItMayBeCached(t *testing.T) {
+func TestChooseReturningChat(t *testing.T) {
 	ts, loads := targets(12), route.NewLoads()
 	sample(loads, ts, 4)
 	q := query(true)
 	q.Hint = "engine-7"
 	ranked := route.Rank(q.Key, ts, 3)
 	var tries []route.Try
-	var asked []string
+	var offered []string
 	for range 4 {
 		s, ok := route.Choose(q, ts, loads, loads.Mean(ts, 1), tries, 1).(route.Send)
 		if !ok || s.Mode != wire.ModeCachedOnly {
 			break
 		}
-		asked = append(asked, s.Engine)
+		offered = append(offered, s.Engine)
 		tries = append(tries, route.Try{Engine: s.Engine, Mode: s.Mode, NotCached: true})
 	}
 	want := []string{"engine-7"}
@@ -122,17 +122,17 @@
 			want = append(want, id)
 		}
 	}
-	if !slices.Equal(asked, want) {
-		t.Errorf("got %v, want the hint, then the ranked %v", asked, want)
+	if !slices.Equal(offered, want) {
+		t.Errorf("got %v, want the hint, then the ranked %v", offered, want)
 	}
 	if s := route.Choose(q, ts, loads, loads.Mean(ts, 1), tries, 1).(route.Send); s.Mode != wire.ModeNormal {
 		t.Errorf("cached nowhere: got %+v, want an ordinary offer", s)
 	}
 }
 
-// Guards against a chat that moves between two turns because its engine is believed to be
-// busier than another: a request need not show that there was an earlier turn.
-func TestAChatStaysThoughItsRequestShowsNoEarlierTurn(t *testing.T) {
+// Guards against a chat that moves to another engine between two turns because its own
+// seems busier. A request doesn't always show that there was an earlier turn.
+func TestChooseNamedOrHintedChat(t *testing.T) {
 	ts := targets(12)
 	home := ts[route.Rank(42, ts, 1)[0]].ID()
 	for name, c := range map[string]struct {
@@ -149,35 +149,35 @@
 	} {
 		loads := route.NewLoads()
 		sample(loads, ts, 0)
-		// All that may know of the chat are believed to be busy.
+		// The engines that may have the chat cached seem busy.
 		loads.Sample(home, 2, 1)
 		loads.Sample("engine-7", 2, 1)
 		q := query(false)
 		q.Hint, q.Named = c.hint, c.named
 		var tries []route.Try
-		var asked []string
+		var offered []string
 		for {
 			s := route.Choose(q, ts, loads, loads.Mean(ts, 1), tries, 1).(route.Send)
 			if s.Mode != wire.ModeCachedOnly {
 				break
 			}
-			asked = append(asked, s.Engine)
+			offered = append(offered, s.Engine)
 			tries = append(tries, route.Try{Engine: s.Engine, Mode: s.Mode, NotCached: true})
 		}
-		if !slices.Equal(asked, c.want) {
-			t.Errorf("%s: got asked %v, want %v", name, asked, c.want)
+		if !slices.Equal(offered, c.want) {
+			t.Errorf("%s: got offers to %v, want %v", name, offered, c.want)
 		}
 	}
 }
 
-func TestTheHomeSendsOnToWhereTheChatWent(t *testing.T) {
+func TestHomeRedirectsToPlacement(t *testing.T) {
 	ts, loads := targets(12), route.NewLoads()
 	q := query(true)
 	first := route.Choose(q, ts, loads, loads.Mean(ts, 1), nil, 1).(route.Send)
-	book := route.NewCacheIndex(1000)
-	book.RecordTurn(q.Key, 50, 1)
-	book.RecordPlacement(q.Key, "engine-9")
-	ans := route.Decide(route.Offer{Chat: q.Key, Mode: first.Mode}, route.State{Engine: first.Engine, Slots: 16, Mean: -1, Engines: 12, Bound: 1.25, Floor: 2}, book)
+	index := route.NewCacheIndex(1000)
+	index.RecordTurn(q.Key, 50, 1)
+	index.RecordPlacement(q.Key, "engine-9")
+	ans := route.Decide(route.Offer{Chat: q.Key, Mode: first.Mode}, route.State{Engine: first.Engine, Slots: 16, Mean: -1, Engines: 12, Bound: 1.25, Floor: 2}, index)
 	r, ok := ans.(route.Redirect)
 	if !ok || r.Engine != "engine-9" || r.Cached != 50 {
 		t.Fatalf("got %+v, want a redirect to engine-9", ans)
@@ -188,53 +188,52 @@
 	}
 }
 
-func TestADaemonHoldsTheBoundWhateverAnEntryBelieves(t *testing.T) {
-	book := route.NewCacheIndex(1000)
-	book.RecordTurn(1, 10, 1)
+func TestDecideEnforcesLimit(t *testing.T) {
+	index := route.NewCacheIndex(1000)
+	index.RecordTurn(1, 10, 1)
 	s := route.State{Engine: "e", Slots: 16, Mean: 0.25, Engines: 12, Bound: 1.25, Floor: 2}
 	limit := route.Limit(1.25, 0.25, 2, 16, 12)
 	for _, mode := range []wire.Mode{wire.ModeNormal, wire.ModeCachedOnly} {
 		s.Requests = limit - 1
-		if _, ok := route.Decide(route.Offer{Chat: 1, Mode: mode}, s, book).(route.Admit); !ok {
+		if _, ok := route.Decide(route.Offer{Chat: 1, Mode: mode}, s, index).(route.Admit); !ok {
 			t.Errorf("%s below the limit: got a refusal", mode)
 		}
 		s.Requests = limit
-		if ans, ok := route.Decide(route.Offer{Chat: 1, Mode: mode}, s, book).(route.Refuse); !ok || !ans.OverBound {
+		if ans, ok := route.Decide(route.Offer{Chat: 1, Mode: mode}, s, index).(route.Refuse); !ok || !ans.OverBound {
 			t.Errorf("%s at the limit: got %+v, want a refusal for the load", mode, ans)
 		}
 	}
 	s.UnderShare = true
-	if _, ok := route.Decide(route.Offer{Chat: 1, Mode: wire.ModeNormal}, s, book).(route.Admit); !ok {
-		t.Error("owed a slot: got a refusal, want the others' queue not held against it")
+	if _, ok := route.Decide(route.Offer{Chat: 1, Mode: wire.ModeNormal}, s, index).(route.Admit); !ok {
+		t.Error("under its share: got a refusal, want it admitted despite the queue of others")
 	}
 	s.Draining, s.Requests = true, 0
-	if ans, ok := route.Decide(route.Offer{Mode: wire.ModeForce}, s, book).(route.Refuse); !ok || !ans.Draining {
-		t.Errorf("leaving: got %+v, want a refusal", ans)
+	if ans, ok := route.Decide(route.Offer{Mode: wire.ModeForce}, s, index).(route.Refuse); !ok || !ans.Draining {
+		t.Errorf("draining: got %+v, want a refusal", ans)
 	}
 }
 
-func TestLateEvictionsDoNotUndoALaterTurn(t *testing.T) {
+func TestRecordEvicted(t *testing.T) {
 	b := route.NewCacheIndex(100)
 	b.RecordTurn(1, 40, 1000)
 	b.RecordEvicted(1, 900)
 	if got, want := b.CachedTokens(1), 40; got != want {
-		t.Errorf("an event from before: got %d, want %d", got, want)
+		t.Errorf("eviction before the latest turn: got %d, want %d", got, want)
 	}
 	b.RecordEvicted(1, 1100)
 	if got := b.CachedTokens(1); got != 0 {
-		t.Errorf("an event from after: got %d, want 0", got)
+		t.Errorf("eviction after the latest turn: got %d, want 0", got)
 	}
 	b.RecordTurn(1, 60, 1)
 	b.RecordTurn(2, 60, 2)
 	if b.CachedTokens(1) != 0 || b.CachedTokens(2) != 60 {
-		t.Errorf("over the memory: got %d and %d, want the older gone", b.CachedTokens(1), b.CachedTokens(2))
+		t.Errorf("over the capacity: got %d and %d tokens, want the older chat evicted", b.CachedTokens(1), b.CachedTokens(2))
 	}
 }
 
-// TestChooseEnds drives random refusals: every request is offered at most Max
-// times, never again to an engine that refused for good, and a pool that is
-// not empty is asked at least once.
-func TestChooseEnds(t *testing.T) {
+// With random refusals, a request is offered at most MaxTries times, at most once to an
+// engine in the same mode, and at least once if the pool is not empty.
+func TestChooseTerminates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ts := targets(rapid.IntRange(0, 6).Draw(t, "engines"))
 		loads := route.NewLoads()
@@ -277,7 +276,7 @@
 	})
 }
 
-func TestASmallPoolThatAllRefusesForItsLoadStillServes(t *testing.T) {
+func TestChooseForcesWhenAllRefuse(t *testing.T) {
 	ts, loads := targets(2), route.NewLoads()
 	q := query(false)
 	var tries []route.Try
@@ -318,7 +317,7 @@
 	}
 }
 
-func TestChooseAllocatesTheSameForAnyPool(t *testing.T) {
+func TestChooseAllocations(t *testing.T) {
 	var got []float64
 	for _, n := range []int{12, 480, 10_000} {
 		ts, loads := targets(n), route.NewLoads()
@@ -330,8 +329,8 @@
 	}
 }
 
-func TestAChatInTheBookCostsLittle(t *testing.T) {
-	cost := func(n int) float64 {
+func TestCacheIndexMemory(t *testing.T) {
+	bytesPerChat := func(n int) float64 {
 		return heaptest.BytesEach(n, func() *route.CacheIndex {
 			b := route.NewCacheIndex(1 << 40)
 			for i := range uint64(n) {
@@ -340,32 +339,32 @@
 			return b
 		})
 	}
-	small, large := cost(8_000), cost(60_000)
-	t.Logf("%.0f bytes a chat at 8,000, %.0f at 60,000", small, large)
+	small, large := bytesPerChat(8_000), bytesPerChat(60_000)
+	t.Logf("%.0f bytes per chat at 8,000, %.0f at 60,000", small, large)
 	if large > 250 {
-		t.Errorf("got %.0f bytes a chat, want at most 250", large)
+		t.Errorf("got %.0f bytes per chat, want at most 250", large)
 	}
 }
 
-// The first of a ranking are the same however many of it are asked for.
-func TestTheFirstOfARankingAreItsBest(t *testing.T) {
+// The first n of a ranking are the same for any n.
+func TestRankPrefixes(t *testing.T) {
 	for _, size := range []int{1, 7, 63, 64, 65, 300} {
 		ts := make([]route.Target, size)
 		for i := range ts {
 			ts[i] = route.NewTarget(fmt.Sprint("engine-", i%250), 4<<(i%3))
 		}
 		key := route.ChatKey("ws", fmt.Sprint(size))
-		whole := route.Rank(key, ts, size)
-		for i := 1; i < len(whole); i++ {
-			before, after := ts[whole[i-1]], ts[whole[i]]
+		all := route.Rank(key, ts, size)
+		for i := 1; i < len(all); i++ {
+			before, after := ts[all[i-1]], ts[all[i]]
 			better := route.Rank(key, []route.Target{before, after}, 1)[0] == 1
 			equal := !better && route.Rank(key, []route.Target{after, before}, 1)[0] == 0
-			if better || (equal && whole[i] < whole[i-1]) {
-				t.Errorf("%d targets: got %d behind %d, want it before", size, whole[i], whole[i-1])
+			if better || (equal && all[i] < all[i-1]) {
+				t.Errorf("%d targets: got %d ranked after %d, want it before", size, all[i], all[i-1])
 			}
 		}
 		for n := range size + 2 {
-			if got, want := route.Rank(key, ts, n), whole[:min(n, size)]; !slices.Equal(got, want) {
+			if got, want := route.Rank(key, ts, n), all[:min(n, size)]; !slices.Equal(got, want) {
 				t.Fatalf("the first %d of %d: got %v, want %v", n, size, got, want)
 			}
 		}
