--- a/daemon/fair/bench_test.go
+++ b/daemon/fair/bench_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestQueueAllocatesTheSameForAnyNumberOfWorkspaces checks growth by count.
-func TestQueueAllocatesTheSameForAnyNumberOfWorkspaces(t *testing.T) {
+// The number of allocations must not grow with the number of workspaces.
+func TestQueueAllocations(t *testing.T) {
 	var got []float64
 	for _, workspaces := range []int{10, 12_000} {
 		q := fair.New(20_000, 1<<30)
--- a/daemon/fair/queue.go
+++ b/daemon/fair/queue.go
@@ -1,10 +1,10 @@
-// Package fair is the queue in front of one engine. It divides the engine by
-// partner, then by workspace, in tokens and in proportion to their shares; it
-// is work-conserving and bounded. It is pure: nothing in it waits.
+// Package fair is a bounded, work-conserving queue in front of an engine. It divides the
+// engine's capacity, in tokens, among partners in proportion to their shares, and the part
+// of a partner among its workspaces. No function blocks.
 //
-// The order is start-time fair queueing on two levels: each flow carries the
-// virtual time at which its next request starts, and the flow that is
-// furthest behind goes first (Goyal, Vin and Cheng 1996).
+// The order is start-time fair queueing on two levels: each flow has the virtual time at
+// which its next request starts, and the flow with the lowest one is served first (Goyal,
+// Vin and Cheng 1996).
 package fair
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Item is a request that waits.
+// Item is a queued request.
 type Item struct {
 	// ID is unique among the waiting and running requests.
 	ID        uint64
 	Partner   string
 	Workspace string
-	// PartnerShare and WorkspaceShare are above zero.
+	// PartnerShare and WorkspaceShare are positive.
 	PartnerShare   float64
 	WorkspaceShare float64
-	// Cost is the estimate in tokens, at least 1.
+	// Cost is the estimated cost in tokens, at least 1.
 	Cost int
 }
 
@@ -31,54 +31,51 @@
 type flow struct {
 	name  string
 	share float64
-	// vtime is the virtual time at which the flow's next request starts; it
-	// never goes down while the flow is active.
+	// vtime is the virtual time at which the flow's next request starts. While the flow
+	// waits, only the correction in Settle may decrease it.
 	vtime float64
-	// base is the virtual time of the flow's own children; it never goes down.
+	// base is the virtual time of the flow's children. It never decreases.
 	base float64
-	// waiting is the cost in tokens of what waits in the flow.
+	// waiting is the total cost in tokens of the items that wait.
 	waiting int
-	// children has the workspaces of a partner by name; nil for a workspace.
+	// children has the workspaces of a partner by name.
 	children map[string]*flow
 	active   flowHeap
 	items    *list.List
-	// index is the place in the parent's heap, -1 if nothing waits.
+	// index is the position in the parent's heap, or -1 if nothing waits.
 	index int
-	// running is the number of popped items that are not settled; partners
-	// only.
+	// running is the number of popped items that are not settled. Only partners use it.
 	running int
-	// lastPush is when the latest item came; partners only.
+	// lastPush is when the last item was pushed. Only partners use it.
 	lastPush clock.Millis
 }
 
-// ActiveWindow is how long after its latest request a partner still counts as
-// one that slots are kept free for.
+// ActiveWindow is how long after its last request slots are kept free for a partner.
 const ActiveWindow clock.Millis = 10_000
 
 // Queue is a bounded fair queue. It is not safe for concurrent use.
 type Queue struct {
-	// slots is the number of requests that run at once; reserve is how many
-	// of them a partner over its share leaves free for the others.
+	// slots is the number of requests that run concurrently. A partner over its share
+	// leaves reserve of them free for the others.
 	slots, reserve int
 	running        int
 	root           *flow
-	// limit is the most items that wait.
+	// limit is the maximum number of items that wait.
 	limit  int
 	length int
 	byID   map[uint64]*list.Element
 }
 
-// New returns an empty queue in which at most limit items wait for the given
-// number of slots.
+// New returns an empty queue in which up to limit items wait for slots.
 func New(limit, slots int) *Queue {
 	return &Queue{root: newFlow("", 1), limit: limit, slots: slots, byID: map[uint64]*list.Element{}}
 }
 
-// SetSlots changes the number of slots and how many of them are kept free for
-// partners under their share. Running items stay.
+// SetSlots sets the number of slots and how many of them are kept free for partners under
+// their share. Running items keep their slots.
 func (q *Queue) SetSlots(slots, reserve int) { q.slots, q.reserve = slots, min(reserve, slots-1) }
 
-// Slots returns the number of requests that run at once.
+// Slots returns the number of requests that run concurrently.
 func (q *Queue) Slots() int { return q.slots }
 
 // Running returns the number of popped items that are not settled.
@@ -91,13 +88,13 @@
 // Len returns the number of items that wait.
 func (q *Queue) Len() int { return q.length }
 
-// SetLimit changes the bound; items already waiting stay.
+// SetLimit sets the maximum number of items that wait. Items in the queue stay.
 func (q *Queue) SetLimit(limit int) { q.limit = limit }
 
-// Push adds an item. When the queue is full, the newest item of the workspace
-// that waits for the most in proportion to its share is shed, of the partner
-// for which the same holds; it may be the item itself. Shed items have not
-// run and never will.
+// Push adds an item and returns the items that were shed, which never run. If the queue is
+// full, it sheds the newest item of the workspace with the highest waiting cost in
+// proportion to its share, within the partner for which the same is true. This may be the
+// item itself.
 func (q *Queue) Push(it Item, now clock.Millis) (shed []Item) {
 	p := q.root.child(it.Partner, it.PartnerShare)
 	p.lastPush = now
@@ -116,10 +113,12 @@
 	return shed
 }
 
-// Pop takes the item whose turn it is, if there is a slot for it. An engine
-// cannot take a slot back, so a partner that runs more than its share leaves a
-// few free while another partner is about: that one's next request need not
-// wait for a long one of the first to end.
+// Pop removes and returns the next item. It returns false if there is no slot or no item
+// that may use one.
+//
+// An engine doesn't preempt requests. Therefore, a partner over its share leaves a few
+// slots free while other partners are active, so that their next request need not wait
+// until one of its long requests ends.
 func (q *Queue) Pop(now clock.Millis) (Item, bool) {
 	if q.length == 0 || q.running >= q.slots {
 		return Item{}, false
@@ -140,8 +139,8 @@
 	return it, true
 }
 
-// presentShares adds up the shares of the partners that are about.
-func (q *Queue) presentShares(now clock.Millis) float64 {
+// activeShares returns the sum of the shares of the active partners.
+func (q *Queue) activeShares(now clock.Millis) float64 {
 	total := 0.0
 	for _, c := range q.root.children {
 		if c.index >= 0 || c.running > 0 || now-c.lastPush < ActiveWindow {
@@ -151,18 +150,18 @@
 	return total
 }
 
-// UnderShare reports whether others wait here while the partner has less than its
-// share of the slots, running and waiting: its next request will be served
-// before theirs, so that their waiting is no reason to turn it away.
+// UnderShare reports whether items wait while the partner, with its running and waiting
+// requests, has less than its share of the slots. Its next request is served before those
+// of the others then, so their waiting is no reason to refuse it.
 func (q *Queue) UnderShare(partner string, share float64, now clock.Millis) bool {
 	if q.length == 0 {
 		return false
 	}
-	total, has := q.presentShares(now), 0
+	total, count := q.activeShares(now), 0
 	if c, ok := q.root.children[partner]; ok {
-		has = c.running
+		count = c.running
 		for _, w := range c.children {
-			has += w.items.Len()
+			count += w.items.Len()
 		}
 		if c.index < 0 && c.running == 0 && now-c.lastPush >= ActiveWindow {
 			total += share
@@ -170,13 +169,13 @@
 	} else {
 		total += share
 	}
-	return float64(has) < float64(q.slots)*share/total
+	return float64(count) < float64(q.slots)*share/total
 }
 
-// nextUnderShare returns the waiting partner furthest behind among those that run
-// less than their share of the slots, nil if there is none.
+// nextUnderShare returns the waiting partner with the lowest virtual time among those that
+// run less than their share of the slots, or nil if there is none.
 func (q *Queue) nextUnderShare(now clock.Millis) *flow {
-	total := q.presentShares(now)
+	total := q.activeShares(now)
 	var best *flow
 	for _, c := range q.root.active {
 		if float64(c.running) < float64(q.slots)*c.share/total && (best == nil || c.vtime < best.vtime) {
@@ -186,8 +185,7 @@
 	return best
 }
 
-// Remove takes an item out that has not been popped, and reports whether it
-// was waiting. After true it never runs.
+// Remove removes an item that was not popped. It returns false if the item does not wait.
 func (q *Queue) Remove(id uint64) bool {
 	e, ok := q.byID[id]
 	if !ok {
@@ -201,13 +199,13 @@
 	q.length--
 	p.waiting -= it.Cost
 	w.waiting -= it.Cost
-	p.settle(w)
-	q.root.settle(p)
+	p.deactivate(w)
+	q.root.deactivate(p)
 	return true
 }
 
-// Settle gives the slot of a popped item back and corrects its charge to the
-// true cost in tokens.
+// Settle releases the slot of a popped item and corrects its charge to the actual cost in
+// tokens.
 func (q *Queue) Settle(it Item, cost int) {
 	q.running--
 	p, ok := q.root.children[it.Partner]
@@ -221,16 +219,16 @@
 	}
 }
 
-// PruneIdle drops flows that wait for nothing and are not ahead of the others,
-// so that memory follows the active workspaces.
+// PruneIdle removes the flows that have nothing waiting and are not ahead of the others.
+// It limits memory to that of the active workspaces.
 func (q *Queue) PruneIdle(now clock.Millis) {
 	for _, p := range q.root.children {
-		p.forget(func(*flow) bool { return true })
+		p.prune(func(*flow) bool { return true })
 	}
-	q.root.forget(func(p *flow) bool { return p.running == 0 && now-p.lastPush >= ActiveWindow })
+	q.root.prune(func(p *flow) bool { return p.running == 0 && now-p.lastPush >= ActiveWindow })
 }
 
-// Flows returns the number of partners and workspaces remembered.
+// Flows returns the number of partners and workspaces in memory.
 func (q *Queue) Flows() int {
 	n := len(q.root.children)
 	for _, p := range q.root.children {
@@ -249,22 +247,22 @@
 	return c
 }
 
-// activate puts c among those that wait; one that was idle starts at the
-// present and earns nothing for the time it did not ask.
+// activate adds c to the waiting children. A flow that was idle starts at the current
+// virtual time and gets no credit for the time without requests.
 func (f *flow) activate(c *flow) {
 	if c.index >= 0 {
 		return
 	}
 	if len(f.active) == 0 {
-		// Nobody waits: using idle capacity is not held against a flow.
+		// Nothing waits: flows are not charged for the idle capacity that they used.
 		f.base = max(f.base, c.vtime)
 	}
 	c.vtime = max(c.vtime, f.base)
 	heap.Push(&f.active, c)
 }
 
-// settle takes c out of those that wait when it has nothing left.
-func (f *flow) settle(c *flow) {
+// deactivate removes c from the waiting children if nothing waits in it.
+func (f *flow) deactivate(c *flow) {
 	if c.index >= 0 && c.items.Len() == 0 && len(c.active) == 0 {
 		heap.Remove(&f.active, c.index)
 	}
@@ -282,22 +280,24 @@
 	}
 }
 
-// longest returns the waiting child with the most cost by its share.
+// longest returns the waiting child with the highest waiting cost in proportion to its
+// share.
 func (f *flow) longest() *flow {
-	var worst *flow
+	var longest *flow
 	for _, c := range f.active {
-		if worst == nil || float64(c.waiting)/c.share > float64(worst.waiting)/worst.share {
-			worst = c
+		if longest == nil || float64(c.waiting)/c.share > float64(longest.waiting)/longest.share {
+			longest = c
 		}
 	}
-	return worst
+	return longest
 }
 
-// forget drops idle children. While nobody waits, none is ahead of another.
-func (f *flow) forget(may func(*flow) bool) {
+// prune removes the idle children for which removable returns true. While nothing waits,
+// no child is ahead of the others.
+func (f *flow) prune(removable func(*flow) bool) {
 	idle := len(f.active) == 0
 	for name, c := range f.children {
-		if c.index < 0 && (idle || c.vtime <= f.base) && len(c.children) == 0 && may(c) {
+		if c.index < 0 && (idle || c.vtime <= f.base) && len(c.children) == 0 && removable(c) {
 			delete(f.children, name)
 		}
 	}
--- a/daemon/fair/queue_test.go
+++ b/daemon/fair/queue_test.go
@@ -13,7 +13,7 @@
 	return fair.Item{ID: id, Partner: partner, Workspace: workspace, PartnerShare: 1, WorkspaceShare: 1, Cost: cost}
 }
 
-func TestPartnersShareTokensNotCalls(t *testing.T) {
+func TestPartnersShareTokens(t *testing.T) {
 	q := fair.New(1000, 1000)
 	for i := range uint64(100) {
 		q.Push(item(i, "big", "w", 100), 0)
@@ -25,11 +25,11 @@
 		tokens[it.Partner] += it.Cost
 	}
 	if d := tokens["big"] - tokens["small"]; d < -100 || d > 100 {
-		t.Errorf("got %v, want equal tokens within one request", tokens)
+		t.Errorf("got %v, want equal tokens up to one request", tokens)
 	}
 }
 
-func TestSharesWeighPartnersThenWorkspaces(t *testing.T) {
+func TestWeightedShares(t *testing.T) {
 	q := fair.New(1000, 1000)
 	for i := range uint64(200) {
 		a := item(i, "a", fmt.Sprint("w", i%2), 10)
@@ -50,9 +50,9 @@
 	}
 }
 
-func TestIdleTimeEarnsNothingAndIdleCapacityCostsNothing(t *testing.T) {
+func TestIdleFlowStartsAtPresent(t *testing.T) {
 	q := fair.New(1000, 1000)
-	// a uses an idle engine for a long time.
+	// Partner a has an idle engine to itself for a long time.
 	for i := range uint64(50) {
 		q.Push(item(i, "a", "w", 1000), 0)
 		q.Pop(0)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestAFullQueueShedsTheOneOverItsShare(t *testing.T) {
+func TestPushShedsFlowOverItsShare(t *testing.T) {
 	q := fair.New(10, 1000)
 	for i := range uint64(10) {
 		if shed := q.Push(item(i, "surge", "w", 10), 0); len(shed) != 0 {
@@ -80,7 +80,7 @@
 	}
 	shed := q.Push(item(100, "other", "w", 10), 0)
 	if len(shed) != 1 || shed[0].Partner != "surge" || shed[0].ID != 9 {
-		t.Errorf("got %v, want the newest of the surge", shed)
+		t.Errorf("got %v shed, want the newest of the surge", shed)
 	}
 	if it, _ := q.Pop(0); it.Partner != "surge" && it.Partner != "other" {
 		t.Errorf("got %v", it)
@@ -90,32 +90,32 @@
 	}
 }
 
-func TestAPartnerUnderItsShareIsOwedASlotOnlyWhereOthersWait(t *testing.T) {
+func TestUnderShare(t *testing.T) {
 	q := fair.New(100, 4)
 	push := func(id uint64, partner string) { q.Push(item(id, partner, "w", 10), 0) }
 	if q.UnderShare("b", 1, 0) {
-		t.Error("idle engine: got owed, want the bound to hold")
+		t.Error("idle engine: got under its share, want not")
 	}
 	for i := range uint64(8) {
 		push(i, "a")
 		q.Pop(0)
 	}
 	if q.UnderShare("a", 1, 0) {
-		t.Error("alone and waiting: got owed, want not")
+		t.Error("alone and waiting: got under its share, want not")
 	}
 	if !q.UnderShare("b", 1, 0) {
-		t.Error("another that has nothing: got not owed, want owed")
+		t.Error("another partner without requests: got not under its share, want it so")
 	}
 	push(100, "b")
 	push(101, "b")
 	if q.UnderShare("b", 1, 0) {
-		t.Error("with half of the slots: got owed, want not")
+		t.Error("with half of the slots: got under its share, want not")
 	}
 }
 
-// TestQueueKeepsItsPromises drives random pushes, pops and removals: nothing
-// is lost or given twice, the bound holds, and the queue is work-conserving.
-func TestQueueKeepsItsPromises(t *testing.T) {
+// With random pushes, pops and removals, no item is lost or returned twice, the limit
+// holds, and the queue is work-conserving.
+func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(t, "limit")
 		q := fair.New(limit, 1000)
@@ -129,7 +129,7 @@
 				waiting[next] = true
 				for _, s := range q.Push(it, 0) {
 					if !waiting[s.ID] {
-						t.Fatalf("shed %d that did not wait", s.ID)
+						t.Fatalf("got %d shed, which did not wait", s.ID)
 					}
 					delete(waiting, s.ID)
 				}
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestMemoryFollowsTheActiveWorkspaces(t *testing.T) {
+func TestPruneIdle(t *testing.T) {
 	q := fair.New(100, 100_000)
 	for i := range uint64(12_000) {
 		q.Push(item(i, "p", fmt.Sprint("w", i), 10), 0)
--- a/daemon/fair/surge_test.go
+++ b/daemon/fair/surge_test.go
@@ -11,20 +11,20 @@
 	"github.com/weldfall/weldfall/daemon/fair"
 )
 
-// slots is the number of requests that the engine of these tests runs at once.
+// slots is the number of requests that the engine runs concurrently.
 const slots = 16
 
-// reserve is the default of fairness.reserve_ratio for them.
+// reserve is the number of reserved slots at the default of fairness.reserve_ratio.
 const reserve = 3
 
-// arrival is a request of a partner; it runs for cost milliseconds.
+// arrival is a request of a partner that runs for cost milliseconds.
 type arrival struct {
 	at      float64
 	partner string
 	cost    int
 }
 
-// arrivals makes Poisson arrivals that use the given part of the engine.
+// arrivals returns Poisson arrivals that use the given part of the engine's capacity.
 func arrivals(r *rand.Rand, partner string, part, meanCost, seconds float64) []arrival {
 	var out []arrival
 	rate := part * slots / meanCost
@@ -34,19 +34,19 @@
 	return out
 }
 
-type ends []float64
+type endTimes []float64
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i] < e[j] }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(float64)) }
-func (e *ends) Pop() any {
+func (e endTimes) Len() int           { return len(e) }
+func (e endTimes) Less(i, j int) bool { return e[i] < e[j] }
+func (e endTimes) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endTimes) Push(x any)        { *e = append(*e, x.(float64)) }
+func (e *endTimes) Pop() any {
 	v := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return v
 }
 
-// outcome is what a partner got.
+// outcome has the results of a partner's requests.
 type outcome struct {
 	latencies []float64
 	shed      int
@@ -57,13 +57,13 @@
 	return o.latencies[len(o.latencies)*95/100]
 }
 
-// drive runs the arrivals through a queue in front of an engine.
-func drive(list []arrival) map[string]*outcome {
+// simulate runs the arrivals through a queue in front of an engine.
+func simulate(list []arrival) map[string]*outcome {
 	slices.SortFunc(list, func(a, b arrival) int { return int(math.Copysign(1, a.at-b.at)) })
 	q := fair.New(64, slots)
 	q.SetSlots(slots, reserve)
 	out := map[string]*outcome{"planning": {}, "vigia": {}}
-	running := &ends{}
+	running := &endTimes{}
 	started := map[float64]fair.Item{}
 	byID := map[uint64]arrival{}
 	dispatch := func(now float64) {
@@ -94,20 +94,20 @@
 	return out
 }
 
-// TestASurgeOfOnePartnerDoesNotMoveTheOther has one partner at ten times its
-// share, with many small requests and with few large ones.
-func TestASurgeOfOnePartnerDoesNotMoveTheOther(t *testing.T) {
+// A partner at ten times its share, with many small or with few large requests, must not
+// slow down the other one.
+func TestSurgeIsolation(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		cost float64
 	}{{"small", 400}, {"equal", 800}, {"large", 4000}} {
 		r := rand.New(rand.NewPCG(1, 2))
 		vigia := arrivals(r, "vigia", 0.3, 800, 1000)
-		calm := drive(append(slices.Clone(vigia), arrivals(r, "planning", 0.3, c.cost, 1000)...))
-		surge := drive(append(slices.Clone(vigia), arrivals(r, "planning", 5, c.cost, 1000)...))
-		ratio := surge["vigia"].p95() / calm["vigia"].p95()
+		before := simulate(append(slices.Clone(vigia), arrivals(r, "planning", 0.3, c.cost, 1000)...))
+		surge := simulate(append(slices.Clone(vigia), arrivals(r, "planning", 5, c.cost, 1000)...))
+		ratio := surge["vigia"].p95() / before["vigia"].p95()
 		t.Logf("%s: 95th percentile %.0f ms before, %.0f ms in the surge, ratio %.3f; shed of vigia %d, of planning %d",
-			c.name, calm["vigia"].p95(), surge["vigia"].p95(), ratio, surge["vigia"].shed, surge["planning"].shed)
+			c.name, before["vigia"].p95(), surge["vigia"].p95(), ratio, surge["vigia"].shed, surge["planning"].shed)
 		if ratio > 1.1 {
 			t.Errorf("%s: got ratio %.3f, want at most 1.1", c.name, ratio)
 		}
--- a/daemon/target/export_test.go
+++ b/daemon/target/export_test.go
@@ -1,7 +1,7 @@
 package target
 
-// Exited is exited, for the tests.
+// Exited exports exited for tests.
 var Exited = exited
 
-// MaxControlAnswer is maxControlAnswer, for the tests.
-const MaxControlAnswer = maxControlAnswer
+// MaxControlResponse exports maxControlResponse for tests.
+const MaxControlResponse = maxControlResponse
--- a/daemon/target/target.go
+++ b/daemon/target/target.go
@@ -1,5 +1,5 @@
-// Package target is the client of model engines and plain services: it starts
-// requests, resumes and cancels streams, and reads load and cache events.
+// Package target is the client of model engines and plain services. It sends requests,
+// resumes and cancels streams, and reads loads and cache events.
 package target
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/weldfall/weldfall/common/whole"
 )
 
-// Headers of the engines' protocol.
+// Headers of the engine protocol.
 const (
 	headerAttempt  = "X-Attempt"
 	headerKey      = "X-Request-Key"
@@ -28,26 +28,26 @@
 	headerCacheKey = "X-Cache-Key"
 )
 
-// inquiryLimit bounds the time in which the target's machine, beside this process, must
-// say whether the target still listens.
-const inquiryLimit clock.Millis = 100
+// checkTimeout limits a connection attempt that checks whether the target still listens.
+// The target runs on the same machine.
+const checkTimeout clock.Millis = 100
 
-// Client talks to one engine or service instance.
+// Client is the client of one engine or service instance.
 type Client struct {
 	addr   string
 	base   string
 	dialer *net.Dialer
 	http   *http.Client
-	// fresh uses a new connection for each request: the transport never sends
-	// again on those, and none is a stale one that the target has closed.
-	fresh *http.Client
+	// noReuse uses a new connection for each request. The transport never retries on a new
+	// connection, and the target can't have closed it while it was idle.
+	noReuse *http.Client
 }
 
-// New returns a client of the target at host:port.
+// New returns a client of the target at addr, which is host:port.
 func New(addr string) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
-	once := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
-	return &Client{addr: addr, base: "http://" + addr, dialer: dial.New(inquiryLimit), http: &http.Client{Transport: t}, fresh: &http.Client{Transport: once}}
+	noReuse := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
+	return &Client{addr: addr, base: "http://" + addr, dialer: dial.New(checkTimeout), http: &http.Client{Transport: t}, noReuse: &http.Client{Transport: noReuse}}
 }
 
 // Request is a request to a target.
@@ -55,22 +55,21 @@
 	Attempt  string
 	Key      string
 	Priority int
-	// CacheKey names the chat in the engine's cache, "" for none.
+	// CacheKey is the key of the chat in the engine's cache, or "".
 	CacheKey string
 	Method   string
 	Path     string
 	Header   map[string]string
 	Body     []byte
-	// AtMostOnce is true for a request that must not be sent a second time.
+	// AtMostOnce is true if the request must not be sent twice.
 	AtMostOnce bool
 }
 
-// ErrNotSent means that nothing of a request reached the target, so that it
-// has not run.
-var ErrNotSent = errors.New("target not reached")
+// ErrNotSent means that nothing of a request reached the target and that it has not run.
+var ErrNotSent = errors.New("target unreachable, request not sent")
 
-// Do starts a request. An error that wraps ErrNotSent is certain; after any
-// other the request may have run.
+// Do sends a request. If the error wraps ErrNotSent, the request has certainly not run.
+// After any other error, it may have.
 func (c *Client) Do(ctx context.Context, r Request) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, c.base+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
@@ -85,38 +84,38 @@
 		req.Header.Set(headerCacheKey, r.CacheKey)
 	}
 	req.Header.Set(headerPriority, strconv.Itoa(r.Priority))
-	// The transport must not send a request twice on its own.
+	// Without GetBody, the transport doesn't retry a request with a body.
 	req.GetBody = nil
 	client := c.http
 	if r.AtMostOnce {
-		client = c.fresh
+		client = c.noReuse
 	}
 	res, err := client.Do(req)
-	// A request without a body may have been sent before on a connection that
-	// broke, and be sent again by the transport; then a refusal proves nothing.
-	again := !r.AtMostOnce && len(r.Body) == 0
-	if errors.Is(err, syscall.ECONNREFUSED) && !again {
+	// The transport retries a request without a body if its connection broke. The first
+	// try may have run then, even if the retry is refused.
+	mayRetry := !r.AtMostOnce && len(r.Body) == 0
+	if errors.Is(err, syscall.ECONNREFUSED) && !mayRetry {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	return res, err
 }
 
-// ErrExited means that the target's process has ended: its machine answers and refuses
-// connections. What it had is lost.
-var ErrExited = errors.New("target has ended")
+// ErrExited means that the target's process has exited: its machine refuses connections.
+// The state of the process is lost.
+var ErrExited = errors.New("target process has exited")
 
-// closeLag is how long an ended process may take to close its listener after its first
-// connections: the kernel closes one after the other, and may let others run in between.
+// closeLag is how long an exiting process may take to close its listener after its first
+// connections. The kernel closes sockets one by one and may schedule others in between.
 const closeLag = 20 * time.Millisecond
 
-// Exited reports whether the target's process has ended.
+// Exited reports whether the target's process has exited.
 func (c *Client) Exited(ctx context.Context) bool {
 	return exited(func() (net.Conn, error) { return c.dialer.DialContext(ctx, "tcp", c.addr) })
 }
 
-// exited reports whether a process has ended to which a new connection is refused. This
-// process stands beside the target, and asks so soon that one which is ending may still
-// listen: such a connection is reset at once, and the next one refused.
+// exited reports whether a process refuses connections. This process runs on the same
+// machine and checks so soon that an exiting process may still listen. Then, the connection
+// is reset at once and the next one refused.
 func exited(connect func() (net.Conn, error)) bool {
 	nc, err := connect()
 	if err != nil {
@@ -127,19 +126,20 @@
 	if _, err := nc.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	again, err := connect()
+	second, err := connect()
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	_ = again.Close()
+	_ = second.Close()
 	return false
 }
 
 // ErrUnknownAttempt means that the target does not know the attempt.
-var ErrUnknownAttempt = errors.New("target does not know the attempt")
+var ErrUnknownAttempt = errors.New("attempt is unknown to the target")
 
-// Resume asks for a stream again from event number from on; for a plain
-// answer it asks for the whole.
+// Resume requests the rest of a stream from the given event number on, or, if plain is
+// true, the whole of a plain response. It returns ErrExited or ErrUnknownAttempt if the
+// response is lost.
 func (c *Client) Resume(ctx context.Context, attempt string, from int, plain bool) (*http.Response, error) {
 	u := c.base + "/v1/streams/" + attempt + "?from=" + strconv.Itoa(from)
 	if plain {
@@ -167,7 +167,7 @@
 	return res, nil
 }
 
-// Cancel gives an attempt up and reports whether it had started.
+// Cancel cancels an attempt and reports whether it had started. On an error, it may have.
 func (c *Client) Cancel(ctx context.Context, attempt string) (started bool, err error) {
 	var out struct {
 		Started bool `json:"started"`
@@ -178,7 +178,7 @@
 	return out.Started, nil
 }
 
-// LoadReport is what an engine reports of itself, with a lag.
+// LoadReport is the load that an engine reports, with a lag.
 type LoadReport struct {
 	Running       int `json:"running"`
 	Waiting       int `json:"waiting"`
@@ -187,48 +187,48 @@
 	CacheTokens   int `json:"cache_tokens"`
 }
 
-// Load reads the engine's load report.
+// Load returns the engine's load report.
 func (c *Client) Load(ctx context.Context) (LoadReport, error) {
 	var out LoadReport
 	return out, c.call(ctx, http.MethodGet, "/load", nil, &out)
 }
 
-// Kinds of events of the engine's cache.
+// Kinds of cache events.
 const (
 	EventStored  = "stored"
 	EventEvicted = "evicted"
 )
 
-// CacheEvent is a change of the engine's cache.
+// CacheEvent reports a change of the engine's cache.
 type CacheEvent struct {
 	Seq    int64  `json:"seq"`
 	Kind   string `json:"kind"`
 	Key    string `json:"key"`
 	Tokens int    `json:"tokens"`
-	// Age is how long ago it happened, in milliseconds.
+	// Age is the time since the event, in milliseconds.
 	Age clock.Millis `json:"age_ms"`
 }
 
-// CacheEvents reads the cache events after a sequence number. They come late, and
+// CacheEvents returns the cache events after a sequence number. They arrive late, and
 // numbers may be missing.
 func (c *Client) CacheEvents(ctx context.Context, after int64) ([]CacheEvent, error) {
 	var out []CacheEvent
 	return out, c.call(ctx, http.MethodGet, "/cache/events?after="+strconv.FormatInt(after, 10), nil, &out)
 }
 
-// ExportPrefix reads the cached prefix of a chat.
+// ExportPrefix returns the cached prefix of a chat.
 func (c *Client) ExportPrefix(ctx context.Context, key string) ([]byte, error) {
 	var out json.RawMessage
 	return out, c.call(ctx, http.MethodGet, "/cache/export/"+key, nil, &out)
 }
 
-// ImportPrefix stores a prefix that another engine exported.
+// ImportPrefix stores a prefix that was exported by another engine.
 func (c *Client) ImportPrefix(ctx context.Context, key string, blob []byte) error {
 	return c.call(ctx, http.MethodPost, "/cache/import/"+key, blob, nil)
 }
 
-// maxControlAnswer bounds answers other than those to callers, in bytes.
-const maxControlAnswer = 64 << 20
+// maxControlResponse limits the responses that are not for callers, in bytes.
+const maxControlResponse = 64 << 20
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
@@ -246,9 +246,9 @@
 	if out == nil {
 		return nil
 	}
-	text, err := whole.Read(res.Body, res.ContentLength, maxControlAnswer)
+	data, err := whole.Read(res.Body, res.ContentLength, maxControlResponse)
 	if err == nil {
-		err = json.Unmarshal(text, out)
+		err = json.Unmarshal(data, out)
 	}
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, path, err)
@@ -256,5 +256,5 @@
 	return nil
 }
 
-// MaxEvent bounds one event of a stream in bytes.
+// MaxEvent limits one event of a stream, in bytes.
 const MaxEvent = 4 << 20
--- a/daemon/target/target_test.go
+++ b/daemon/target/target_test.go
@@ -17,28 +17,29 @@
 	"github.com/weldfall/weldfall/internal/largetest"
 )
 
-// A request that ends its engine is told by the engine's end. The daemon beside it heard of
-// the broken connection while the ending process still listened, took it to live, and the
-// request was sent to the next engine as if nothing were known of it.
-func TestAProcessThatIsEndingHasEnded(t *testing.T) {
+// Guards against a missed crash of an engine. A request that crashes engines is detected by
+// their exits. The daemon, on the same machine, saw the broken connection while the exiting
+// process still listened, considered it alive, and the request was sent to the next engine
+// without a strike.
+func TestExited(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for name, tc := range map[string]struct {
-		// taken is how many connections are taken before one is refused, closed whether
-		// those that were taken are closed at once.
-		taken  int
-		closed bool
-		want   bool
+		// accepted is the number of connections that are accepted before one is refused.
+		// closed is true if they are closed at once.
+		accepted int
+		closed   bool
+		want     bool
 	}{
-		"refuses":                           {want: true},
-		"still listens, and refuses then":   {taken: 1, closed: true, want: true},
-		"lives":                             {taken: 9},
-		"lives, and closes connections":     {taken: 9, closed: true},
-		"lives, the next one would be lost": {taken: 1},
+		"refuses":                        {want: true},
+		"listens at first, then refuses": {accepted: 1, closed: true, want: true},
+		"runs":                           {accepted: 9},
+		"runs and closes connections":    {accepted: 9, closed: true},
+		"runs, a second connection would be refused": {accepted: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := 0
 			got := target.Exited(func() (net.Conn, error) {
-				if n++; n > tc.taken {
+				if n++; n > tc.accepted {
 					return nil, refused
 				}
 				near, far := net.Pipe()
@@ -49,23 +50,23 @@
 				return near, nil
 			})
 			if got != tc.want {
-				t.Errorf("got ended %v, want %v", got, tc.want)
+				t.Errorf("got exited %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-func TestAReportThatIsTooLargeIsCalledThat(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(target.MaxControlAnswer))
+func TestTooLargeLoadReport(t *testing.T) {
+	srv := httptest.NewServer(largetest.Over(target.MaxControlResponse))
 	defer srv.Close()
 	_, err := target.New(srv.Listener.Addr().String()).Load(t.Context())
-	if want := strconv.Itoa(target.MaxControlAnswer); !errors.Is(err, whole.ErrTooLarge) || !strings.Contains(err.Error(), want) {
+	if want := strconv.Itoa(target.MaxControlResponse); !errors.Is(err, whole.ErrTooLarge) || !strings.Contains(err.Error(), want) {
 		t.Errorf("got %v, want an error that names the limit of %s bytes", err, want)
 	}
 }
 
-// A prefix or a report that ends with its connection is not taken for a shorter one.
-func TestAnExportThatIsCutIsNoExport(t *testing.T) {
+// A prefix or load report whose connection breaks must not be read as a shorter one.
+func TestTruncatedExport(t *testing.T) {
 	const prefix = `{"hashes":[1,2,3],"tokens":30}`
 	for n := range len(prefix) {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
