--- a/daemon/attempt.go
+++ b/daemon/attempt.go
@@ -10,20 +10,20 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// phase is how far an attempt has come.
+// phase is the state of an attempt.
 type phase string
 
 const (
-	// waiting attempts have not been sent to the engine.
+	// waiting means that the request was not sent to the engine.
 	waiting phase = "waiting"
-	// started attempts may have reached the engine.
+	// started means that the request may have reached the engine.
 	started phase = "started"
-	// ended attempts have a result; the answer stays for a while.
+	// ended means that the result is set. The response is retained for a while.
 	ended phase = "ended"
 )
 
-// attempt is one request at this daemon. Its frames stay until some time
-// after the end, so that an entry whose connection broke gets the rest.
+// attempt is a request at this daemon. Its frames are retained for some time after its end,
+// so that an entry whose connection broke can resume the response.
 type attempt struct {
 	run    wire.Run
 	ctx    context.Context
@@ -32,27 +32,28 @@
 	mu     sync.Mutex
 	phase  phase
 	frames []wire.Frame
-	// result is set once, when phase becomes ended.
+	// result is set once, when phase changes to ended.
 	result wire.Result
-	// grown is closed and replaced when frames or phase change.
-	grown chan struct{}
-	// followers counts the connections that read the answer.
+	// changed is closed and replaced when frames or phase change.
+	changed chan struct{}
+	// followers is the number of connections that read the response.
 	followers int
 	endedAt   clock.Millis
 }
 
 func newAttempt(r wire.Run) *attempt {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &attempt{run: r, ctx: ctx, cancel: cancel, phase: waiting, grown: make(chan struct{})}
+	return &attempt{run: r, ctx: ctx, cancel: cancel, phase: waiting, changed: make(chan struct{})}
 }
 
-func (a *attempt) wake() {
-	close(a.grown)
-	a.grown = make(chan struct{})
+// notifyFollowers wakes the followers. The caller holds mu.
+func (a *attempt) notifyFollowers() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// start marks that the request is about to be sent; it reports false when the
-// attempt has ended already, and then it must not be sent.
+// start records that the request is about to be sent. It returns false if the attempt has
+// ended already, in which case it must not be sent.
 func (a *attempt) start() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -63,23 +64,24 @@
 	return true
 }
 
-// add appends a piece of the answer.
-func (a *attempt) add(head *wire.Head, data []byte) {
+// appendFrame appends a part of the response.
+func (a *attempt) appendFrame(head *wire.Head, data []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.frames = append(a.frames, wire.Frame{Attempt: a.run.Attempt, Seq: len(a.frames), Head: head, Data: data})
-	a.wake()
+	a.notifyFollowers()
 }
 
-// addHeld appends the whole of an answer. One message of a link may not hold it.
-func (a *attempt) addHeld(head *wire.Head, body []byte) {
-	a.add(head, body[:min(len(body), pieceBytes)])
-	for n := pieceBytes; n < len(body); n += pieceBytes {
-		a.add(nil, body[n:min(len(body), n+pieceBytes)])
+// appendBody appends a complete response. It is split into frames because it may exceed the
+// size of a link message.
+func (a *attempt) appendBody(head *wire.Head, body []byte) {
+	a.appendFrame(head, body[:min(len(body), chunkBytes)])
+	for n := chunkBytes; n < len(body); n += chunkBytes {
+		a.appendFrame(nil, body[n:min(len(body), n+chunkBytes)])
 	}
 }
 
-// end sets the result, once; it reports whether this call did.
+// end ends the attempt with a result. It returns false if it has ended before.
 func (a *attempt) end(res wire.Result, now clock.Millis) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,13 +91,13 @@
 	res.Frames = len(a.frames)
 	a.phase, a.result, a.endedAt = ended, res, now
 	a.cancel()
-	a.wake()
+	a.notifyFollowers()
 	return true
 }
 
-// giveUp ends the attempt unless it has been sent, and returns what is known:
-// not_run is certain, since start fails from now on.
-func (a *attempt) giveUp(reason verdict.Reason, message string, now clock.Millis) verdict.Verdict {
+// abandon ends the attempt unless it was sent, and returns its verdict. NotRun is certain,
+// because start fails from then on. MayHaveRun leaves it to the caller to end the attempt.
+func (a *attempt) abandon(reason verdict.Reason, message string, now clock.Millis) verdict.Verdict {
 	a.mu.Lock()
 	p := a.phase
 	result := a.result
@@ -114,11 +116,12 @@
 	return verdict.MayHaveRun
 }
 
-// mergeBytes bounds the data of frames that are merged into one message.
-const mergeBytes = 32 << 10
+// maxMergedBytes limits the data of frames that are merged into one message.
+const maxMergedBytes = 32 << 10
 
-// follow sends the frames from seq on over c until the attempt ends, and
-// returns the result. Frames that are ready together go as one message.
+// follow sends the frames from seq on over c until the attempt ends, and returns the
+// result. It returns false if the connection fails. Frames that are available at the same
+// time are merged into one message.
 func (a *attempt) follow(c *link.Conn, seq int) (wire.Result, bool) {
 	release := c.Watch()
 	defer release()
@@ -132,76 +135,76 @@
 	}()
 	for {
 		a.mu.Lock()
-		ready := a.frames[min(seq, len(a.frames)):]
-		p, grown, result := a.phase, a.grown, a.result
+		pending := a.frames[min(seq, len(a.frames)):]
+		p, changed, result := a.phase, a.changed, a.result
 		a.mu.Unlock()
-		for len(ready) > 0 {
-			f, n := merge(ready)
+		for len(pending) > 0 {
+			f, n := mergeFrames(pending)
 			if c.SendFrame(f) != nil {
 				return wire.Result{}, false
 			}
 			seq += n
-			ready = ready[n:]
+			pending = pending[n:]
 		}
 		if p == ended {
 			return result, true
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-c.Done():
 			return wire.Result{}, false
 		}
 	}
 }
 
-// merge joins frames from the start of ready, up to a bound of bytes.
-func merge(ready []wire.Frame) (wire.Frame, int) {
-	f := ready[0]
+// mergeFrames merges the first frames of pending, up to maxMergedBytes, and returns how many
+// it merged.
+func mergeFrames(pending []wire.Frame) (wire.Frame, int) {
+	f := pending[0]
 	n, size := 1, len(f.Data)
-	for n < len(ready) && ready[n].Head == nil && size+len(ready[n].Data) <= mergeBytes {
-		size += len(ready[n].Data)
+	for n < len(pending) && pending[n].Head == nil && size+len(pending[n].Data) <= maxMergedBytes {
+		size += len(pending[n].Data)
 		n++
 	}
 	if n == 1 {
 		return f, 1
 	}
 	data := make([]byte, 0, size)
-	for _, r := range ready[:n] {
+	for _, r := range pending[:n] {
 		data = append(data, r.Data...)
 	}
 	f.Data, f.Count = data, n
 	return f, n
 }
 
-// Times that attempts are kept.
 const (
-	// resumeGrace is how long an attempt goes on when no entry follows it.
+	// resumeGrace is how long an attempt continues while no entry follows it.
 	resumeGrace clock.Millis = 6000
-	// keepEnded is how long an answer stays for a resume.
-	keepEnded clock.Millis = 10_000
-	// keepFence is how long an attempt that never came is turned away.
-	keepFence clock.Millis = 300_000
-	// sweepPeriod is how often these are looked at.
+	// endedRetention is how long the response of an ended attempt can be resumed.
+	endedRetention clock.Millis = 10_000
+	// fenceRetention is how long a fenced attempt is refused.
+	fenceRetention clock.Millis = 300_000
+	// sweepPeriod is how often these times are checked.
 	sweepPeriod clock.Millis = 500
 )
 
-// attempts are the requests at this daemon by attempt number.
+// attempts has the requests at this daemon. It is safe for concurrent use.
 type attempts struct {
 	mu   sync.Mutex
 	byID map[uint64]*attempt
-	// fenced are attempts that were given up before they arrived; one that
-	// arrives late is turned away, so that not_run stays true.
+	// fenced has the attempts that were canceled or resumed before they arrived, and when.
+	// They are refused if they arrive late, so that the verdict not_run remains true.
 	fenced map[uint64]clock.Millis
-	// idle is since when nobody has followed an attempt.
-	idle map[uint64]clock.Millis
+	// unfollowed has the time since which an attempt has no followers.
+	unfollowed map[uint64]clock.Millis
 }
 
 func newAttempts() *attempts {
-	return &attempts{byID: map[uint64]*attempt{}, fenced: map[uint64]clock.Millis{}, idle: map[uint64]clock.Millis{}}
+	return &attempts{byID: map[uint64]*attempt{}, fenced: map[uint64]clock.Millis{}, unfollowed: map[uint64]clock.Millis{}}
 }
 
-// begin registers a new attempt. It returns nil when it was given up before,
-// and the known one with false when it is here already.
+// begin adds an attempt and returns it with true. It returns nil if the attempt is fenced,
+// and the existing one with false if it was added before.
 func (as *attempts) begin(r wire.Run) (*attempt, bool) {
 	as.mu.Lock()
 	defer as.mu.Unlock()
@@ -216,14 +219,14 @@
 	return a, true
 }
 
-// drop forgets an attempt that was refused.
+// drop removes an attempt that was refused.
 func (as *attempts) drop(id uint64) {
 	as.mu.Lock()
 	defer as.mu.Unlock()
 	delete(as.byID, id)
 }
 
-// findOrFence returns the attempt, or fences its number off.
+// findOrFence returns an attempt. If there is none, it fences the number and returns nil.
 func (as *attempts) findOrFence(id uint64, now clock.Millis) *attempt {
 	as.mu.Lock()
 	defer as.mu.Unlock()
@@ -234,13 +237,13 @@
 	return nil
 }
 
-// sweep drops what is kept no longer and returns the attempts that go on
-// without an entry for too long.
+// sweep removes attempts and fences whose retention is over. It returns the attempts that
+// have had no followers for longer than resumeGrace.
 func (as *attempts) sweep(now clock.Millis) (abandoned []*attempt) {
 	as.mu.Lock()
 	defer as.mu.Unlock()
-	for id, at := range as.fenced {
-		if now-at > keepFence {
+	for id, fencedAt := range as.fenced {
+		if now-fencedAt > fenceRetention {
 			delete(as.fenced, id)
 		}
 	}
@@ -249,15 +252,15 @@
 		p, endedAt, followers := a.phase, a.endedAt, a.followers
 		a.mu.Unlock()
 		switch {
-		case p == ended && now-endedAt > keepEnded:
+		case p == ended && now-endedAt > endedRetention:
 			delete(as.byID, id)
-			delete(as.idle, id)
+			delete(as.unfollowed, id)
 		case p == ended || followers > 0:
-			delete(as.idle, id)
+			delete(as.unfollowed, id)
 		default:
-			since, ok := as.idle[id]
+			since, ok := as.unfollowed[id]
 			if !ok {
-				as.idle[id] = now
+				as.unfollowed[id] = now
 			} else if now-since > resumeGrace {
 				abandoned = append(abandoned, a)
 			}
@@ -266,7 +269,7 @@
 	return abandoned
 }
 
-// active counts the attempts that have no result yet.
+// active returns the number of attempts that have no result or still have followers.
 func (as *attempts) active() int {
 	as.mu.Lock()
 	defer as.mu.Unlock()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon is the process beside a target: it decides exactly what runs
-// on its engines, queues fairly, relays answers so that they can be resumed,
-// and is a witness for requests that run at most once.
+// Package daemon runs on the same machine as engines or instances of plain services. It
+// decides which requests they run, queues them fairly, relays responses so that entries can
+// resume them, and is a witness for at-most-once requests.
 package daemon
 
 import (
@@ -27,16 +27,16 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Engine is an engine that the daemon fronts.
+// Engine is an engine or service instance of a daemon.
 type Engine struct {
 	ID string `toml:"id"`
-	// Addr is host:port of the engine.
+	// Addr is the engine's host:port.
 	Addr string `toml:"addr"`
-	// Slots is used until the engine reports its own.
+	// Slots is the number of concurrent requests until the engine reports its own.
 	Slots int `toml:"slots"`
 }
 
-// Config sets up a Daemon.
+// Config is the configuration of a Daemon.
 type Config struct {
 	ID        string
 	Hall      string
@@ -48,7 +48,7 @@
 	Log       *slog.Logger
 }
 
-// Daemon is the process beside a target.
+// Daemon is the state of a daemon process.
 type Daemon struct {
 	cfg      Config
 	clk      *clock.Clock
@@ -58,14 +58,14 @@
 	engines  map[string]*engine
 	attempts *attempts
 
-	mu      sync.Mutex
-	witness *once.Witness
-	leaving bool
+	mu       sync.Mutex
+	witness  *once.Witness
+	draining bool
 }
 
 var _ link.Handler = (*Daemon)(nil)
 
-// New returns a daemon that is not yet running.
+// New returns a daemon, which serves once Run is called.
 func New(cfg Config) *Daemon {
 	d := &Daemon{
 		cfg: cfg, clk: cfg.Clock, log: cfg.Log, engines: map[string]*engine{}, attempts: newAttempts(),
@@ -82,11 +82,11 @@
 	return d
 }
 
-// Node returns the shared part of the process, for its pages.
+// Node returns the process's node in the fleet.
 func (d *Daemon) Node() *fleet.Node { return d.node }
 
-// Ready reports whether the daemon takes requests.
-func (d *Daemon) Ready() bool { return d.node.Ready() && !d.isLeaving() }
+// Ready reports whether the daemon accepts requests.
+func (d *Daemon) Ready() bool { return d.node.Ready() && !d.isDraining() }
 
 func (d *Daemon) loads() []wire.Load {
 	out := make([]wire.Load, 0, len(d.engines))
@@ -96,7 +96,7 @@
 	return out
 }
 
-// Run serves on ln until ctx is done. Call Leave before for a planned stop.
+// Run serves on ln until ctx is done. For a planned stop, call Drain first.
 func (d *Daemon) Run(ctx context.Context, ln net.Listener) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -113,18 +113,18 @@
 
 func (d *Daemon) sweep() {
 	for _, a := range d.attempts.sweep(d.clk.Now()) {
-		d.giveUp(a, verdict.CallerGone, "no entry follows the answer")
+		d.abandon(a, verdict.CallerGone, "no entry reads the response")
 	}
-	if !d.isLeaving() && d.node.Ready() && d.node.State(d.cfg.ID) == member.Leaving {
+	if !d.isDraining() && d.node.Ready() && d.node.State(d.cfg.ID) == member.Leaving {
 		d.log.Info("leaving", "cause", "list")
-		d.startLeaving()
+		d.startDraining()
 	}
 }
 
-func (d *Daemon) isLeaving() bool {
+func (d *Daemon) isDraining() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.leaving
+	return d.draining
 }
 
 // Call implements link.Handler.
@@ -167,7 +167,7 @@
 	return nil, fmt.Errorf("unknown method %q", method)
 }
 
-// Frame implements link.Handler; a daemon gets no frames.
+// Frame implements link.Handler. A daemon receives no frames.
 func (d *Daemon) Frame(wire.Frame) {}
 
 // Notify implements link.Handler.
@@ -185,7 +185,7 @@
 		if json.Unmarshal(params, &p) == nil && d.engines[p.Home] != nil {
 			e := d.engines[p.Home]
 			e.mu.Lock()
-			e.book.RecordPlacement(p.Chat, p.Engine)
+			e.cache.RecordPlacement(p.Chat, p.Engine)
 			e.mu.Unlock()
 		}
 	default:
@@ -193,145 +193,148 @@
 	}
 }
 
-// refuse is a result that lets the entry try elsewhere.
+// refuse returns the result of a refusal, after which the entry may try another engine.
 func refuse(reason verdict.Reason, message string) wire.Result {
 	return wire.Result{Verdict: verdict.NotRun, Reason: reason, Message: message, Refused: true}
 }
 
-// run takes a request through decision, queue and engine.
+// run decides on a request and, if it is admitted, queues it and sends it to the engine. It
+// returns the result after the response was relayed over c.
 func (d *Daemon) run(c *link.Conn, r wire.Run) wire.Result {
 	e := d.engines[r.Engine]
 	if e == nil {
-		return refuse(verdict.NoEngine, "no engine "+r.Engine+" here")
+		return refuse(verdict.NoEngine, "no engine "+r.Engine+" at this daemon")
 	}
-	a, fresh := d.attempts.begin(r)
+	a, isNew := d.attempts.begin(r)
 	if a == nil {
-		return refuse(verdict.CallerGone, "given up before it arrived")
+		return refuse(verdict.CallerGone, "request was canceled before it arrived")
 	}
-	if !fresh {
+	if !isNew {
 		res, _ := a.follow(c, 0)
 		return res
 	}
 	d.node.SampleLoads(r.Loads)
-	turn, res := e.enter(a, d.state(r))
-	if turn == nil {
+	slot, res := e.submit(a, d.poolState(r))
+	if slot == nil {
 		d.attempts.drop(r.Attempt)
 		a.end(res, d.clk.Now())
 		return res
 	}
-	go d.serve(e, a, turn)
+	go d.serve(e, a, slot)
 	res, _ = a.follow(c, 0)
 	return res
 }
 
-// state is what the decision needs beside the engine's own state.
-func (d *Daemon) state(r wire.Run) route.State {
+// poolState returns the part of route.State that doesn't depend on the engine. The mean
+// load is the sender's estimate, if it has one.
+func (d *Daemon) poolState(r wire.Run) route.State {
 	engines, mean := d.node.PoolLoad(d.cfg.Pool)
 	if r.MeanLoad >= 0 {
 		mean = r.MeanLoad
 	}
 	return route.State{
 		Mean: mean, Engines: engines, Bound: r.LoadBound, Floor: r.LoadFloor,
-		Draining: d.isLeaving(),
+		Draining: d.isDraining(),
 	}
 }
 
-// serve waits for the turn of an attempt, relays it and ends it.
-func (d *Daemon) serve(e *engine, a *attempt, turn <-chan fair.Item) {
+// serve waits until an attempt gets a slot, relays it and ends it.
+func (d *Daemon) serve(e *engine, a *attempt, slot <-chan fair.Item) {
 	deadline := make(chan struct{})
 	go func() {
 		if d.clk.SleepUntil(a.ctx, d.clk.Now()+a.run.Remaining) {
 			close(deadline)
 		}
 	}()
-	it, ok := d.awaitTurn(e, a, turn, deadline)
+	it, ok := d.awaitSlot(e, a, slot, deadline)
 	if !ok {
 		return
 	}
-	from := d.clk.Now()
+	startedAt := d.clk.Now()
 	res := d.relay(e, a, deadline)
 	cost := res.Usage.Prompt - res.Usage.Cached + res.Usage.Completion
 	if cost == 0 {
 		cost = it.Cost
 	}
 	if res.Verdict == verdict.Ran {
-		e.ran(a.run.Chat, res.Usage)
+		e.recordTurn(a.run.Chat, res.Usage)
 	}
-	e.done(it, cost, d.clk.Now()-from)
+	e.release(it, cost, d.clk.Now()-startedAt)
 	res.Loads = e.loads()
 	a.end(res, d.clk.Now())
 	metrics.GetOrCreateCounter(fmt.Sprintf(`weldfall_attempts_total{engine=%q,verdict=%q}`, e.id, res.Verdict)).Inc()
 }
 
-// awaitTurn returns the item with which the attempt holds a slot. It reports
-// false when the attempt ended in the queue: shed, given up or out of time.
-func (d *Daemon) awaitTurn(e *engine, a *attempt, turn <-chan fair.Item, deadline <-chan struct{}) (fair.Item, bool) {
+// awaitSlot returns the item that holds a slot for the attempt. It returns false if the
+// attempt ended in the queue: it was shed or canceled, or its deadline passed.
+func (d *Daemon) awaitSlot(e *engine, a *attempt, slot <-chan fair.Item, deadline <-chan struct{}) (fair.Item, bool) {
 	select {
-	case it := <-turn:
+	case it := <-slot:
 		return it, true
 	case <-deadline:
-		d.giveUp(a, verdict.Deadline, "the deadline passed in the queue")
+		d.abandon(a, verdict.Deadline, "deadline exceeded in the queue")
 	case <-a.ctx.Done():
 	}
-	if e.withdraw(a.run.Attempt) {
+	if e.dequeue(a.run.Attempt) {
 		return fair.Item{}, false
 	}
 	select {
-	case it := <-turn:
-		// The turn came at the same moment; the slot must be given back.
+	case it := <-slot:
+		// The attempt got its slot at the same time. The caller must release it.
 		return it, true
 	default:
-		// Shed: its place is gone already.
+		// The item was shed.
 		return fair.Item{}, false
 	}
 }
 
-// relay runs an attempt that has its turn, until the deadline at most.
+// relay runs an attempt that has a slot, at most until the deadline.
 func (d *Daemon) relay(e *engine, a *attempt, deadline <-chan struct{}) wire.Result {
 	if !a.start() {
 		return wire.Result{Verdict: verdict.NotRun}
 	}
-	ended := make(chan struct{})
-	defer close(ended)
+	done := make(chan struct{})
+	defer close(done)
 	go func() {
 		select {
 		case <-deadline:
-			d.giveUp(a, verdict.Deadline, "the deadline passed while it ran")
-		case <-ended:
+			d.abandon(a, verdict.Deadline, "deadline exceeded while the request ran")
+		case <-done:
 		}
 	}()
 	return e.relay(a)
 }
 
-// giveUp ends an attempt and, if it was sent, cancels it at the engine.
-func (d *Daemon) giveUp(a *attempt, reason verdict.Reason, message string) verdict.Verdict {
-	v := a.giveUp(reason, message, d.clk.Now())
+// abandon ends an attempt and, if it was sent, cancels it at the engine. It returns the
+// attempt's verdict.
+func (d *Daemon) abandon(a *attempt, reason verdict.Reason, message string) verdict.Verdict {
+	v := a.abandon(reason, message, d.clk.Now())
 	if v != verdict.MayHaveRun {
 		return v
 	}
 	if a.end(wire.Result{Verdict: v, Reason: reason, Message: message}, d.clk.Now()) {
 		if e := d.engines[a.run.Engine]; e != nil {
-			go e.stop(a)
+			go e.cancel(a)
 		}
 	}
 	return v
 }
 
-// resume takes up the answer of an attempt on a new connection.
+// resume sends the rest of an attempt's response over a new connection.
 func (d *Daemon) resume(c *link.Conn, r wire.Resume) wire.Result {
 	if r.BootID != link.BootID() {
-		return wire.Result{Verdict: verdict.MayHaveRun, Reason: verdict.LinkLost, Message: "the daemon was replaced while the request ran"}
+		return wire.Result{Verdict: verdict.MayHaveRun, Reason: verdict.LinkLost, Message: "daemon was replaced while the request ran"}
 	}
 	a := d.attempts.findOrFence(r.Attempt, d.clk.Now())
 	if a == nil {
-		return refuse(verdict.LinkLost, "the request never arrived")
+		return refuse(verdict.LinkLost, "request did not arrive")
 	}
 	metrics.GetOrCreateCounter("weldfall_resumed_total").Inc()
 	res, _ := a.follow(c, r.From)
 	return res
 }
 
-// cancel gives an attempt up for an entry.
+// cancel abandons an attempt on behalf of an entry.
 func (d *Daemon) cancel(r wire.Cancel) wire.Canceled {
 	if r.BootID != link.BootID() {
 		return wire.Canceled{Verdict: verdict.MayHaveRun}
@@ -340,10 +343,11 @@
 	if a == nil {
 		return wire.Canceled{Verdict: verdict.NotRun}
 	}
-	return wire.Canceled{Verdict: d.giveUp(a, verdict.CallerGone, "the caller has gone")}
+	return wire.Canceled{Verdict: d.abandon(a, verdict.CallerGone, "caller disconnected")}
 }
 
-// claim is a witness's answer. One that may be cut off promises nothing.
+// claim handles a claim as a witness. It grants nothing if the daemon may be partitioned
+// from the fleet.
 func (d *Daemon) claim(c wire.Claim) wire.Grant {
 	if !d.node.MajorityReachable() || !d.node.Ready() {
 		return wire.Grant{}
@@ -355,8 +359,8 @@
 
 func (d *Daemon) importCache(r wire.Import) error {
 	e := d.engines[r.Engine]
-	if e == nil || d.isLeaving() {
-		return fmt.Errorf("import: no engine %s here", r.Engine)
+	if e == nil || d.isDraining() {
+		return fmt.Errorf("import: daemon has no engine %s or is draining", r.Engine)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout.Duration())
 	defer cancel()
@@ -365,8 +369,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keepsChats = true
-	e.book.RecordTurn(r.Chat, r.Tokens, d.clk.Now())
+	e.servesChats = true
+	e.cache.RecordTurn(r.Chat, r.Tokens, d.clk.Now())
 	return nil
 }
 
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -13,12 +13,12 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// startLeaving refuses new work from now on, whatever routers believe, and
-// tells the others.
-func (d *Daemon) startLeaving() {
+// startDraining makes the daemon refuse new requests, even if entries still send them, and
+// announces that to the fleet.
+func (d *Daemon) startDraining() {
 	d.mu.Lock()
-	already := d.leaving
-	d.leaving = true
+	already := d.draining
+	d.draining = true
 	d.mu.Unlock()
 	if already {
 		return
@@ -29,64 +29,63 @@
 	}
 }
 
-// drainCheck is how often a leaving daemon looks whether it is done.
-const drainCheck clock.Millis = 20
+// drainCheckPeriod is how often a draining daemon checks whether all attempts have ended.
+const drainCheckPeriod clock.Millis = 20
 
-// Drain is the planned stop: new work is refused, what is queued or runs is
-// finished within the drain time, and cached prefixes go to where their chats
-// go next. It returns the number of attempts that were cut off.
+// Drain prepares a planned stop. The daemon refuses new requests, finishes queued and
+// running ones within the drain time, and exports cached prefixes to the engines to which
+// their chats go next. Drain returns the number of attempts that are not finished.
 func (d *Daemon) Drain(ctx context.Context) int {
 	d.log.Info("leaving", "cause", "stop", "active", d.attempts.active())
-	d.startLeaving()
-	end := d.clk.Now() + d.settings().Leave.Drain()
-	for d.attempts.active() > 0 && d.clk.Now() < end && clock.Sleep(ctx, drainCheck) {
+	d.startDraining()
+	deadline := d.clk.Now() + d.settings().Leave.Drain()
+	for d.attempts.active() > 0 && d.clk.Now() < deadline && clock.Sleep(ctx, drainCheckPeriod) {
 	}
-	if d.settings().Leave.Handover && d.clk.Now() < end {
+	if d.settings().Leave.Handover && d.clk.Now() < deadline {
 		d.handOver(ctx)
 	}
-	left := d.attempts.active()
-	d.log.Info("drained", "cut_off", left)
-	return left
+	unfinished := d.attempts.active()
+	d.log.Info("drained", "cut_off", unfinished)
+	return unfinished
 }
 
 const (
-	// handOverParallel bounds the prefixes in flight.
-	handOverParallel = 8
-	// handOverChats bounds the prefixes of one engine that are handed over,
-	// most recently used first.
-	handOverChats = 4096
+	// maxHandoversInFlight limits the concurrent exports.
+	maxHandoversInFlight = 8
+	// maxHandoverChats limits the prefixes of one engine that are exported. The most
+	// recently used go first.
+	maxHandoverChats = 4096
 )
 
-// handOver exports the cached prefix of each chat to the engine that is next
-// in the chat's ranking.
+// handOver exports the cached prefix of each chat to the next engine in the chat's ranking.
 func (d *Daemon) handOver(ctx context.Context) {
-	var moved atomic.Int64
+	var exported atomic.Int64
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(handOverParallel)
+	g.SetLimit(maxHandoversInFlight)
 	for _, e := range d.engines {
 		e.mu.Lock()
-		chats := e.book.Chats()
+		chats := e.cache.Chats()
 		e.mu.Unlock()
-		for i := len(chats) - 1; i >= max(0, len(chats)-handOverChats); i-- {
+		for i := len(chats) - 1; i >= max(0, len(chats)-maxHandoverChats); i-- {
 			g.Go(func() error {
 				if d.handOverChat(ctx, e, chats[i]) {
-					moved.Add(1)
+					exported.Add(1)
 				}
 				return nil
 			})
 		}
 	}
 	_ = g.Wait()
-	metrics.GetOrCreateCounter("weldfall_handover_total").Add(int(moved.Load()))
-	d.log.Info("handed_over", "chats", moved.Load())
+	metrics.GetOrCreateCounter("weldfall_handover_total").Add(int(exported.Load()))
+	d.log.Info("handed_over", "chats", exported.Load())
 }
 
-// handOverChat moves one prefix and reports whether it arrived.
+// handOverChat exports the prefix of one chat and reports whether it arrived.
 func (d *Daemon) handOverChat(ctx context.Context, e *engine, chat uint64) bool {
 	e.mu.Lock()
-	tokens := e.book.CachedTokens(chat)
+	tokens := e.cache.CachedTokens(chat)
 	e.mu.Unlock()
-	next, at := d.node.NextEngine(d.cfg.Pool, chat, e.id)
+	next, instance := d.node.NextEngine(d.cfg.Pool, chat, e.id)
 	if next == "" || tokens == 0 {
 		return false
 	}
@@ -96,7 +95,7 @@
 	if err != nil {
 		return false
 	}
-	c, err := d.links.Get(at.Addr, link.Data)
+	c, err := d.links.Get(instance.Addr, link.Data)
 	if err != nil {
 		return false
 	}
@@ -104,7 +103,7 @@
 		return false
 	}
 	e.mu.Lock()
-	e.book.RecordEvicted(chat, d.clk.Now())
+	e.cache.RecordEvicted(chat, d.clk.Now())
 	e.mu.Unlock()
 	return true
 }
--- a/daemon/export_test.go
+++ b/daemon/export_test.go
@@ -1,4 +1,4 @@
 package daemon
 
-// MaxPlain is maxPlain, for the tests.
-const MaxPlain = maxPlain
+// MaxPlainResponse exports maxPlainResponse for tests.
+const MaxPlainResponse = maxPlainResponse
--- a/daemon/incarnations.go
+++ b/daemon/incarnations.go
@@ -7,25 +7,25 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// oneEnd is the time in which all requests that an engine had find out that it ended.
-const oneEnd clock.Millis = 400
+// endWindow is the time within which all requests of an engine notice that it has ended.
+const endWindow clock.Millis = 400
 
-// lives gives the lives of an engine marks, so that entries can tell whether two requests
-// saw the same end. It is safe for concurrent use.
-type lives struct {
+// incarnations assigns hashes to the ended incarnations of an engine, so that entries can
+// tell whether two requests noticed the same end. It is safe for concurrent use.
+type incarnations struct {
 	mu sync.Mutex
-	// latest is the mark of the life that ended last, at endedAt; zero if none did.
-	latest  uint32
+	// hash is the hash of the incarnation that ended last, at endedAt, or zero.
+	hash    uint32
 	endedAt clock.Millis
 }
 
-// end records that a request found the engine to have ended, and returns the mark of the
-// life that did.
-func (l *lives) end(now clock.Millis) uint32 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.latest == 0 || now-l.endedAt > oneEnd {
-		l.latest, l.endedAt = max(1, rand.Uint32()), now
+// recordEnd records that a request noticed the end of the engine, and returns the hash of
+// the incarnation that ended.
+func (i *incarnations) recordEnd(now clock.Millis) uint32 {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.hash == 0 || now-i.endedAt > endWindow {
+		i.hash, i.endedAt = max(1, rand.Uint32()), now
 	}
-	return l.latest
+	return i.hash
 }
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// resumeTries is how often a broken engine link is taken up again.
-	resumeTries = 5
-	// resumeWait is the wait before the second try; it doubles.
-	resumeWait clock.Millis = 50
-	// maxPlain bounds a plain chat answer in bytes.
-	maxPlain = 32 << 20
-	// pieceBytes is the size of the pieces of an answer that is no stream.
-	pieceBytes = 32 << 10
+	// maxResumes limits the attempts to resume a response after the connection broke.
+	maxResumes = 5
+	// resumeBackoff is the base of the exponential delay between these attempts.
+	resumeBackoff clock.Millis = 50
+	// maxPlainResponse limits a plain chat response, in bytes.
+	maxPlainResponse = 32 << 20
+	// chunkBytes is the size of the frames of a response that is not a stream.
+	chunkBytes = 32 << 10
 )
 
-// relay sends an attempt to the engine and turns the answer into frames. It
-// returns the result of the attempt.
+// relay sends an attempt to the engine, converts the response to frames and returns the
+// result of the attempt.
 func (e *engine) relay(a *attempt) wire.Result {
 	r := a.run
 	req := target.Request{
@@ -46,18 +46,18 @@
 		return wire.Result{Verdict: verdict.NotRun, Reason: verdict.Unreachable, Refused: true, Message: err.Error()}
 	}
 	if err != nil && r.Chat != 0 {
-		// The engine may have the request: it is asked before that is said.
+		// The engine may have received the request, so its response may be available.
 		res, err = e.resume(a, 0, !r.Stream, 1)
 	}
 	if err != nil {
-		return e.lost(a, err)
+		return e.failedResult(a, err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	switch {
 	case r.Chat == 0:
 		return e.relayService(a, res)
 	case res.StatusCode != http.StatusOK:
-		return e.relayRefusal(a, res)
+		return e.relayError(a, res)
 	case r.Stream:
 		return e.relayStream(a, res)
 	default:
@@ -65,29 +65,29 @@
 	}
 }
 
-// lost is the result when the answer of a request that was sent is lost.
-func (e *engine) lost(a *attempt, err error) wire.Result {
+// failedResult returns the result of an attempt that was sent and whose response is lost.
+func (e *engine) failedResult(a *attempt, err error) wire.Result {
 	if a.ctx.Err() != nil {
-		return wire.Result{Verdict: verdict.MayHaveRun, Reason: verdict.CallerGone, Message: "given up while it ran"}
+		return wire.Result{Verdict: verdict.MayHaveRun, Reason: verdict.CallerGone, Message: "request was canceled while it ran"}
 	}
 	return wire.Result{
-		Verdict: verdict.MayHaveRun, Reason: verdict.EngineFailed, Message: fmt.Sprintf("engine %s: %v", e.id, err), EndedIncarnation: e.endedLife(err),
+		Verdict: verdict.MayHaveRun, Reason: verdict.EngineFailed, Message: fmt.Sprintf("engine %s: %v", e.id, err), EndedIncarnation: e.endedIncarnation(err),
 	}
 }
 
-// endedLife returns the mark of the engine's life if that is over, else zero. An engine
-// that does not know an attempt which it had has started again meanwhile.
-func (e *engine) endedLife(err error) uint32 {
+// endedIncarnation returns the hash of the engine's incarnation if it has ended, or zero.
+// An engine that no longer knows an attempt has restarted.
+func (e *engine) endedIncarnation(err error) uint32 {
 	if !errors.Is(err, target.ErrExited) && !errors.Is(err, target.ErrUnknownAttempt) && !e.client.Exited(context.Background()) {
 		return 0
 	}
-	return e.lives.end(e.clk.Now())
+	return e.incarnations.recordEnd(e.clk.Now())
 }
 
-// relayedHeaders are passed from an answer to the caller.
+// relayedHeaders are the response headers that are passed to the caller.
 var relayedHeaders = []string{"Content-Type", "Content-Encoding", "Content-Language", "Location", "Etag", "Last-Modified", "Cache-Control"}
 
-func (e *engine) headOf(res *http.Response) *wire.Head {
+func (e *engine) newHead(res *http.Response) *wire.Head {
 	h := map[string]string{}
 	for _, name := range relayedHeaders {
 		if v := res.Header.Get(name); v != "" {
@@ -97,33 +97,33 @@
 	return &wire.Head{Status: res.StatusCode, Header: h, Loads: e.loads()}
 }
 
-// relayService passes the answer of a plain service on as it comes.
+// relayService relays the response of a plain service as it arrives.
 func (e *engine) relayService(a *attempt, res *http.Response) wire.Result {
-	head := e.headOf(res)
-	framed := framing.OfResponse(res)
-	if framed == framing.UntilClose {
+	head := e.newHead(res)
+	bodyFraming := framing.OfResponse(res)
+	if bodyFraming == framing.UntilClose {
 		head.MarkEndsUntilClose()
 	}
 	for {
-		piece := make([]byte, pieceBytes)
-		n, err := fill(res.Body, piece)
+		chunk := make([]byte, chunkBytes)
+		n, err := readFull(res.Body, chunk)
 		if n > 0 || head != nil {
-			a.add(head, piece[:n])
+			a.appendFrame(head, chunk[:n])
 			head = nil
 		}
 		switch {
 		case err == nil:
-		case framed.Completeness(err) == framing.Incomplete:
-			return e.lost(a, err)
+		case bodyFraming.Completeness(err) == framing.Incomplete:
+			return e.failedResult(a, err)
 		default:
 			return wire.Result{Verdict: verdict.Ran}
 		}
 	}
 }
 
-// fill reads until p is full or r ends. Unlike io.ReadFull it returns the error of r as it
-// is: a short last piece does not look like a body that was cut.
-func fill(r io.Reader, p []byte) (n int, err error) {
+// readFull reads until p is full or r returns an error. Unlike io.ReadFull it returns the
+// error of r unchanged, so that a short last chunk differs from a truncated body.
+func readFull(r io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var m int
 		m, err = r.Read(p[n:])
@@ -132,30 +132,31 @@
 	return n, err
 }
 
-// relayRefusal passes the error of an engine on when the request is at fault;
-// otherwise it is the engine's failure.
-func (e *engine) relayRefusal(a *attempt, res *http.Response) wire.Result {
-	body, err := whole.Read(res.Body, res.ContentLength, maxPlain)
+// relayError relays an error response if the request caused it. Otherwise, the attempt has
+// failed.
+func (e *engine) relayError(a *attempt, res *http.Response) wire.Result {
+	body, err := whole.Read(res.Body, res.ContentLength, maxPlainResponse)
 	if err != nil {
-		return e.lost(a, err)
+		return e.failedResult(a, err)
 	}
 	if res.StatusCode >= 500 || res.StatusCode == http.StatusTooManyRequests {
-		return e.lost(a, fmt.Errorf("status %d: %s", res.StatusCode, bytes.TrimSpace(body)))
+		return e.failedResult(a, fmt.Errorf("status %d: %s", res.StatusCode, bytes.TrimSpace(body)))
 	}
-	head := e.headOf(res)
-	if !knownWhole(res, body) {
+	head := e.newHead(res)
+	if !isComplete(res, body) {
 		head.MarkEndsUntilClose()
 	}
-	a.addHeld(head, body)
+	a.appendBody(head, body)
 	return wire.Result{Verdict: verdict.Ran}
 }
 
-// knownWhole reports whether a body that was read to its end is known to be whole: by its
-// framing, or as a JSON object, of which no part is one.
-func knownWhole(res *http.Response, body []byte) bool {
+// isComplete reports whether a body that was read to its end is known to be complete, either
+// by its framing or because it is a JSON object, of which no prefix is one.
+func isComplete(res *http.Response, body []byte) bool {
 	return framing.OfResponse(res) != framing.UntilClose || bytes.HasPrefix(bytes.TrimSpace(body), []byte("{")) && json.Valid(body)
 }
 
+// usageBody is the part of a chat response that has the usage.
 type usageBody struct {
 	Usage *struct {
 		Prompt     int `json:"prompt_tokens"`
@@ -166,7 +167,7 @@
 	} `json:"usage"`
 }
 
-func usageOf(body []byte) wire.Usage {
+func parseUsage(body []byte) wire.Usage {
 	var u usageBody
 	if json.Unmarshal(body, &u) != nil || u.Usage == nil {
 		return wire.Usage{}
@@ -174,94 +175,96 @@
 	return wire.Usage{Prompt: u.Usage.Prompt, Completion: u.Usage.Completion, Cached: u.Usage.Details.Cached}
 }
 
-// plainOf reads a plain chat answer. One that ends with its connection has broken off unless
-// it is complete by its own syntax.
-func plainOf(res *http.Response) ([]byte, error) {
-	body, err := whole.Read(res.Body, res.ContentLength, maxPlain)
-	if err == nil && !knownWhole(res, body) {
-		err = fmt.Errorf("the connection ended after %d bytes: %w", len(body), io.ErrUnexpectedEOF)
+// readPlain reads a plain chat response. It returns an error if the response ends with its
+// connection and is not complete by its syntax.
+func readPlain(res *http.Response) ([]byte, error) {
+	body, err := whole.Read(res.Body, res.ContentLength, maxPlainResponse)
+	if err == nil && !isComplete(res, body) {
+		err = fmt.Errorf("connection closed after %d bytes: %w", len(body), io.ErrUnexpectedEOF)
 	}
 	return body, err
 }
 
-// relayPlain passes a plain chat answer on when the whole is here.
+// relayPlain relays a plain chat response once it is complete.
 func (e *engine) relayPlain(a *attempt, res *http.Response) wire.Result {
-	body, err := plainOf(res)
-	for try := 0; err != nil && !errors.Is(err, whole.ErrTooLarge) && try < resumeTries; try++ {
-		var again *http.Response
-		if again, err = e.resume(a, 0, true, try); err != nil {
+	body, err := readPlain(res)
+	for try := 0; err != nil && !errors.Is(err, whole.ErrTooLarge) && try < maxResumes; try++ {
+		var resumed *http.Response
+		if resumed, err = e.resume(a, 0, true, try); err != nil {
 			break
 		}
-		body, err = plainOf(again)
-		_ = again.Body.Close()
+		body, err = readPlain(resumed)
+		_ = resumed.Body.Close()
 	}
 	if err != nil {
-		return e.lost(a, err)
+		return e.failedResult(a, err)
 	}
-	a.addHeld(e.headOf(res), body)
-	return wire.Result{Verdict: verdict.Ran, Usage: usageOf(body)}
+	a.appendBody(e.newHead(res), body)
+	return wire.Result{Verdict: verdict.Ran, Usage: parseUsage(body)}
 }
 
-// resume takes a broken link to the engine up again.
+// resume resumes a response after the connection to the engine broke. It waits before all
+// tries but the first.
 func (e *engine) resume(a *attempt, from int, plain bool, try int) (*http.Response, error) {
-	if try > 0 && !clock.Sleep(a.ctx, resumeWait<<try) {
+	if try > 0 && !clock.Sleep(a.ctx, resumeBackoff<<try) {
 		return nil, a.ctx.Err()
 	}
 	return e.client.Resume(a.ctx, strconv.FormatUint(a.run.Attempt, 16), from, plain)
 }
 
 var (
-	doneMark   = []byte("[DONE]")
-	usageMark  = []byte(`"usage":{`)
+	doneData   = []byte("[DONE]")
+	usageField = []byte(`"usage":{`)
 	dataPrefix = []byte("data: ")
 	blankLine  = []byte("\n\n")
 )
 
-// relayStream passes the events of a stream on and takes a broken link up
-// again at the event that is missing. The end mark is left out: the entry
-// writes it when every frame has arrived.
+// relayStream relays the events of a stream. If the connection breaks, it resumes the stream
+// at the first missing event. It drops the final [DONE] event, which the entry writes after
+// the last frame.
 func (e *engine) relayStream(a *attempt, res *http.Response) wire.Result {
-	head := e.headOf(res)
+	head := e.newHead(res)
 	var usage wire.Usage
 	next, tries := 0, 0
 	body := res.Body
 	defer func() { _ = body.Close() }()
-	for in := events.NewReader(body, target.MaxEvent); ; {
-		ev, err := in.Next()
+	for r := events.NewReader(body, target.MaxEvent); ; {
+		ev, err := r.Next()
 		if err != nil {
-			again, err := e.reconnect(a, next, &tries, err)
+			resumed, err := e.reconnect(a, next, &tries, err)
 			if err != nil {
-				return e.lost(a, err)
+				return e.failedResult(a, err)
 			}
 			_ = body.Close()
-			body = again.Body
-			in = events.NewReader(body, target.MaxEvent)
+			body = resumed.Body
+			r = events.NewReader(body, target.MaxEvent)
 			continue
 		}
 		if ev.Number >= 0 && ev.Number != next {
 			if ev.Number < next {
 				continue
 			}
-			return e.lost(a, fmt.Errorf("event %d came where %d was due", ev.Number, next))
+			return e.failedResult(a, fmt.Errorf("got event %d, want event %d", ev.Number, next))
 		}
 		next, tries = next+1, 0
-		if bytes.Equal(ev.Data, doneMark) {
+		if bytes.Equal(ev.Data, doneData) {
 			return wire.Result{Verdict: verdict.Ran, Usage: usage}
 		}
-		if bytes.Contains(ev.Data, usageMark) {
-			usage = usageOf(ev.Data)
+		if bytes.Contains(ev.Data, usageField) {
+			usage = parseUsage(ev.Data)
 			if !a.run.WantUsage {
 				continue
 			}
 		}
-		a.add(head, frameOf(ev.Data))
+		a.appendFrame(head, eventFrame(ev.Data))
 		head = nil
 	}
 }
 
-// reconnect resumes a stream after a broken link, a few times.
+// reconnect resumes a stream after its connection broke. It tries again unless the engine
+// has exited or doesn't know the attempt.
 func (e *engine) reconnect(a *attempt, next int, tries *int, cause error) (*http.Response, error) {
-	for *tries < resumeTries && a.ctx.Err() == nil {
+	for *tries < maxResumes && a.ctx.Err() == nil {
 		*tries++
 		res, err := e.resume(a, next, false, *tries-1)
 		if err == nil {
@@ -275,15 +278,16 @@
 	return nil, cause
 }
 
-func frameOf(data []byte) []byte {
+// eventFrame returns an event with the given data in the format of a stream.
+func eventFrame(data []byte) []byte {
 	out := make([]byte, 0, len(dataPrefix)+len(data)+len(blankLine))
 	out = append(out, dataPrefix...)
 	out = append(out, data...)
 	return append(out, blankLine...)
 }
 
-// stop cancels an attempt at the engine.
-func (e *engine) stop(a *attempt) {
+// cancel cancels an attempt at the engine.
+func (e *engine) cancel(a *attempt) {
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout.Duration())
 	defer cancel()
 	_, _ = e.client.Cancel(ctx, strconv.FormatUint(a.run.Attempt, 16))
--- a/daemon/relay_test.go
+++ b/daemon/relay_test.go
@@ -19,7 +19,7 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// sink counts the frames that an entry would get, and their bytes.
+// sink is a link handler that counts frames and their bytes.
 type sink struct{ frames, bytes int }
 
 func (*sink) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) { return nil, nil }
@@ -40,13 +40,12 @@
 	return ln
 }
 
-// start runs a daemon before an engine without delays and returns a
-// connection to it.
+// start runs a daemon with an engine without delays and returns a connection to the daemon.
 func start(tb testing.TB, h link.Handler) *link.Conn {
 	return startEngine(tb, h, engine.Config{ID: "e", Slots: 64, CacheTokens: 1 << 20, Tokens: 10})
 }
 
-// startSlow has an engine with one slot and 10 ms between tokens.
+// startSlow is start with an engine that has one slot and 10 ms between tokens.
 func startSlow(tb testing.TB, h link.Handler) *link.Conn {
 	return startEngine(tb, h, engine.Config{ID: "e", Slots: 1, CacheTokens: 1 << 20, Tokens: 10, TokenGap: 10})
 }
@@ -55,7 +54,7 @@
 	return startSlots(tb, h, serveEngine(tb, cfg), cfg.Slots)
 }
 
-// serveEngine runs an engine stand-in and returns its address.
+// serveEngine runs a stand-in engine and returns its address.
 func serveEngine(tb testing.TB, cfg engine.Config) string {
 	cfg.Clock = clock.System()
 	ln := listen(tb)
@@ -65,7 +64,7 @@
 	return ln.Addr().String()
 }
 
-func startWith(tb testing.TB, h link.Handler, addr string) *link.Conn {
+func startWithEngineAt(tb testing.TB, h link.Handler, addr string) *link.Conn {
 	const slots = 64
 	return startSlots(tb, h, addr, slots)
 }
@@ -77,17 +76,17 @@
 
 func startDaemon(tb testing.TB, h link.Handler, addr string, slots int) (*link.Conn, *daemon.Daemon) {
 	clk := clock.System()
-	peers := listen(tb)
+	ln := listen(tb)
 	d := daemon.New(daemon.Config{
 		ID: "d", Hall: "h", Pool: "p", Engines: []daemon.Engine{{ID: "e", Addr: addr, Slots: slots}},
 		Platform: source.New("http://127.0.0.1:1", clk), Clock: clk, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
-	go func() { _ = d.Run(ctx, peers) }()
+	go func() { _ = d.Run(ctx, ln) }()
 	pool := link.NewPool(clk, h)
 	tb.Cleanup(pool.Close)
-	c, err := pool.Get(peers.Addr().String(), link.Data)
+	c, err := pool.Get(ln.Addr().String(), link.Data)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -103,7 +102,7 @@
 	}
 }
 
-func TestEveryTokenIsRelayedOnce(t *testing.T) {
+func TestRelayStream(t *testing.T) {
 	s := &sink{}
 	c := start(t, s)
 	for i := range uint64(3) {
@@ -115,14 +114,14 @@
 			t.Errorf("got %+v and %d frames, want 51 more", res, s.frames)
 		}
 	}
-	// The same attempt again, as when its first result was lost, runs nothing.
+	// A repeated attempt, as after a lost result, does not run again.
 	var res wire.Result
 	if err := c.Call(context.Background(), wire.MethodRun, run(1, 50), &res); err != nil || res.Verdict != verdict.Ran {
 		t.Errorf("repeated attempt: got %+v %v, want its result", res, err)
 	}
 }
 
-// BenchmarkRelay is a token through engine stand-in, daemon and connection,
+// BenchmarkRelay measures a token from the stand-in engine through daemon and connection,
 // all in this process.
 func BenchmarkRelay(b *testing.B) {
 	c := start(b, &sink{})
--- a/daemon/restart_test.go
+++ b/daemon/restart_test.go
@@ -16,21 +16,21 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// rebornEngine is an engine that can start again at its address, and counts how often it
-// was asked for its cache events since.
-type rebornEngine struct {
+// restartableEngine is an engine that can restart at its address. It counts the requests
+// for its cache events since.
+type restartableEngine struct {
 	addr string
 
-	mu    sync.Mutex
-	life  http.Handler
-	asked int
-	// mute is true once it tells no events any more.
-	mute bool
+	mu          sync.Mutex
+	incarnation http.Handler
+	polls       int
+	// noEvents is true if it returns no cache events.
+	noEvents bool
 }
 
-func newRebornEngine(t *testing.T) *rebornEngine {
+func newRestartableEngine(t *testing.T) *restartableEngine {
 	t.Helper()
-	e := &rebornEngine{}
+	e := &restartableEngine{}
 	e.restart()
 	srv := httptest.NewServer(e)
 	t.Cleanup(srv.Close)
@@ -38,54 +38,55 @@
 	return e
 }
 
-// cacheTokens is the memory of the engine.
+// cacheTokens is the size of the engine's cache.
 const cacheTokens = 200
 
-// restart begins a life with an empty memory, whose events are numbered from the first.
-func (e *rebornEngine) restart() {
+// restart starts an incarnation with an empty cache, whose events are numbered from the
+// start.
+func (e *restartableEngine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life = engine.New(engine.Config{ID: "e", Slots: 64, CacheTokens: cacheTokens, Tokens: 10, Clock: clock.System()})
-	e.asked = 0
+	e.incarnation = engine.New(engine.Config{ID: "e", Slots: 64, CacheTokens: cacheTokens, Tokens: 10, Clock: clock.System()})
+	e.polls = 0
 }
 
 // ServeHTTP implements http.Handler.
-func (e *rebornEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *restartableEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	life, mute := e.life, e.mute && r.URL.Path == "/cache/events"
+	incarnation, noEvents := e.incarnation, e.noEvents && r.URL.Path == "/cache/events"
 	e.mu.Unlock()
-	if mute {
+	if noEvents {
 		_, _ = w.Write([]byte("[]"))
 	} else {
-		life.ServeHTTP(w, r)
+		incarnation.ServeHTTP(w, r)
 	}
 	if r.URL.Path == "/cache/events" {
 		e.mu.Lock()
-		e.asked++
+		e.polls++
 		e.mu.Unlock()
 	}
 }
 
-// waitAsked waits until a daemon has asked for events so often from now on.
-func (e *rebornEngine) waitAsked(t *testing.T, times int) {
+// waitPolls waits until a daemon has polled the events n times from now on.
+func (e *restartableEngine) waitPolls(t *testing.T, n int) {
 	t.Helper()
 	e.mu.Lock()
-	e.asked = 0
+	e.polls = 0
 	e.mu.Unlock()
 	for range 2000 {
 		e.mu.Lock()
-		asked := e.asked
+		polls := e.polls
 		e.mu.Unlock()
-		if asked >= times {
+		if polls >= n {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("got no %d questions for events in 20 s", times)
+	t.Fatalf("got no %d polls of the events in 20 s", n)
 }
 
-// fill has the engine run something for another that takes nearly all of its memory.
-func (e *rebornEngine) fill(t *testing.T) {
+// fill runs a request of another client that fills nearly all of the engine's cache.
+func (e *restartableEngine) fill(t *testing.T) {
 	t.Helper()
 	body := `{"max_tokens":1,"messages":[{"role":"user","content":"` + strings.Repeat("word ", cacheTokens-20) + `"}]}`
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+e.addr+"/v1/chat/completions", bytes.NewReader([]byte(body)))
@@ -101,23 +102,23 @@
 	_ = res.Body.Close()
 }
 
-// offer offers a chat, and returns whether it was taken.
+// offer offers a chat and reports whether it was admitted.
 func offer(t *testing.T, c *link.Conn, attempt, chat uint64, mode wire.Mode) bool {
 	t.Helper()
 	r := run(attempt, 5)
 	r.Chat, r.Mode = chat, mode
 	got := call[wire.Result](t, c, wire.MethodRun, r)
 	if got.Refused && got.Reason != verdict.NotCached {
-		t.Fatalf("got the offer of chat %d refused for %q, want it taken or not cached", chat, got.Reason)
+		t.Fatalf("got chat %d refused for %q, want it admitted or not cached", chat, got.Reason)
 	}
 	return !got.Refused
 }
 
-// startWithChats runs a daemon before an engine that has run chats 1 to n.
-func startWithChats(t *testing.T, n uint64) (*rebornEngine, *link.Conn) {
+// startWithChats runs a daemon with an engine that has run chats 1 to n.
+func startWithChats(t *testing.T, n uint64) (*restartableEngine, *link.Conn) {
 	t.Helper()
-	e := newRebornEngine(t)
-	c := startWith(t, &sink{}, e.addr)
+	e := newRestartableEngine(t)
+	c := startWithEngineAt(t, &sink{}, e.addr)
 	for chat := uint64(1); chat <= n; chat++ {
 		if !offer(t, c, chat, chat, wire.ModeNormal) {
 			t.Fatalf("got chat %d refused, want it run", chat)
@@ -126,70 +127,69 @@
 	return e, c
 }
 
-// polls is how often a daemon asks for events until it has noticed what there is to notice.
-const polls = 4
+// enoughPolls is the number of polls after which a daemon has noticed any change.
+const enoughPolls = 4
 
-// An engine that started again has lost its memory. Its daemon stays, and says no more
-// that it keeps what the former life kept; the new life's events are numbered from the
-// first, and heard.
-func TestADaemonNoticesThatItsEngineStartedAgain(t *testing.T) {
+// After a restart, an engine has lost its cache. Its daemon keeps running and must drop the
+// chats of the previous incarnation from its cache index. The events of the new incarnation
+// are numbered from the start and must be applied.
+func TestEngineRestartClearsCacheIndex(t *testing.T) {
 	t.Parallel()
 	e, c := startWithChats(t, 5)
-	e.waitAsked(t, polls)
+	e.waitPolls(t, enoughPolls)
 	if !offer(t, c, 11, 1, wire.ModeCachedOnly) {
 		t.Fatal("got a chat not cached where it ran, want it cached")
 	}
 	e.restart()
-	// What runs in the new life is remembered of it.
+	// The daemon records what runs in the new incarnation.
 	if !offer(t, c, 12, 6, wire.ModeNormal) {
-		t.Fatal("got a chat refused by the new life, want it run")
+		t.Fatal("got a chat refused by the new incarnation, want it run")
 	}
-	e.waitAsked(t, polls)
+	e.waitPolls(t, enoughPolls)
 	if offer(t, c, 13, 2, wire.ModeCachedOnly) {
-		t.Error("got a chat of the former life cached, want it forgotten")
+		t.Error("got a chat of the previous incarnation cached, want it dropped")
 	}
 	if !offer(t, c, 14, 6, wire.ModeCachedOnly) {
-		t.Error("got a chat of the new life not cached, want it cached")
+		t.Error("got a chat of the new incarnation not cached, want it cached")
 	}
 	e.fill(t)
-	e.waitAsked(t, polls)
+	e.waitPolls(t, enoughPolls)
 	if offer(t, c, 15, 6, wire.ModeCachedOnly) {
-		t.Error("got a chat cached that the new life has told to be evicted, want it forgotten")
+		t.Error("got a chat cached that the new incarnation has evicted, want it dropped")
 	}
 }
 
-// An engine that drops its old events, and keeps what it kept, has not started again.
-func TestADaemonBelievesAnEngineThatDropsOldEvents(t *testing.T) {
+// An engine that drops old events but still has its cache has not restarted.
+func TestDroppedEventsAreNoRestart(t *testing.T) {
 	t.Parallel()
 	e, c := startWithChats(t, 5)
-	e.waitAsked(t, polls)
+	e.waitPolls(t, enoughPolls)
 	e.mu.Lock()
-	e.mute = true
+	e.noEvents = true
 	e.mu.Unlock()
-	e.waitAsked(t, polls)
+	e.waitPolls(t, enoughPolls)
 	if !offer(t, c, 11, 3, wire.ModeCachedOnly) {
-		t.Error("got a chat not cached that the engine keeps, want it cached")
+		t.Error("got a chat not cached that the engine has cached, want it cached")
 	}
 }
 
-// A daemon that starts before an engine which keeps chats already learns of them from the
-// engine's events.
-func TestADaemonThatIsReplacedLearnsWhatItsEngineKeeps(t *testing.T) {
+// A daemon that starts after its engine learns the cached chats from the engine's events.
+func TestReplacedDaemonLearnsCachedChats(t *testing.T) {
 	t.Parallel()
 	e, _ := startWithChats(t, 3)
-	after := startWith(t, &sink{}, e.addr)
-	// A daemon asks only an engine that was offered chats.
-	offer(t, after, 11, 9, wire.ModeCachedOnly)
-	e.waitAsked(t, 2*polls)
-	if !offer(t, after, 12, 2, wire.ModeCachedOnly) {
-		t.Error("got a chat not cached that the engine keeps, want it cached")
-	}
-	if offer(t, after, 13, 8, wire.ModeCachedOnly) {
+	replacement := startWithEngineAt(t, &sink{}, e.addr)
+	// A daemon polls only engines that were offered chats.
+	offer(t, replacement, 11, 9, wire.ModeCachedOnly)
+	e.waitPolls(t, 2*enoughPolls)
+	if !offer(t, replacement, 12, 2, wire.ModeCachedOnly) {
+		t.Error("got a chat not cached that the engine has cached, want it cached")
+	}
+	if offer(t, replacement, 13, 8, wire.ModeCachedOnly) {
 		t.Error("got a chat cached that never ran, want it not cached")
 	}
 	e.fill(t)
-	e.waitAsked(t, 2*polls)
-	if offer(t, after, 14, 3, wire.ModeCachedOnly) {
-		t.Error("got a chat cached that the engine has evicted, want it forgotten")
+	e.waitPolls(t, 2*enoughPolls)
+	if offer(t, replacement, 14, 3, wire.ModeCachedOnly) {
+		t.Error("got a chat cached that the engine has evicted, want it dropped")
 	}
 }
--- a/daemon/verdict_test.go
+++ b/daemon/verdict_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-func TestAnAttemptGivenUpBeforeItArrivesIsTurnedAway(t *testing.T) {
+func TestCanceledAttemptIsRefusedOnArrival(t *testing.T) {
 	c := start(t, &sink{})
 	if got := call[wire.Canceled](t, c, wire.MethodCancel, wire.Cancel{Attempt: 9, BootID: link.BootID()}); got.Verdict != verdict.NotRun {
 		t.Errorf("cancel: got %q, want not_run", got.Verdict)
@@ -31,25 +31,25 @@
 		t.Errorf("late arrival: got %+v, want it refused", got)
 	}
 	if got := call[wire.Result](t, c, wire.MethodResume, wire.Resume{Attempt: 10, BootID: link.BootID()}); got.Verdict != verdict.NotRun || !got.Refused {
-		t.Errorf("resume of one that never came: got %+v, want it refused", got)
+		t.Errorf("resume of an attempt that did not arrive: got %+v, want it refused", got)
 	}
 	if got := call[wire.Result](t, c, wire.MethodRun, run(10, 5)); !got.Refused {
 		t.Errorf("late arrival after a resume: got %+v, want it refused", got)
 	}
 }
 
-func TestAReplacedDaemonDoesNotSpeakForTheOneBefore(t *testing.T) {
+func TestOtherBootIDMayHaveRun(t *testing.T) {
 	c := start(t, &sink{})
-	const before = 12345
-	if got := call[wire.Result](t, c, wire.MethodResume, wire.Resume{Attempt: 9, BootID: before}); got.Verdict != verdict.MayHaveRun {
+	const otherBootID = 12345
+	if got := call[wire.Result](t, c, wire.MethodResume, wire.Resume{Attempt: 9, BootID: otherBootID}); got.Verdict != verdict.MayHaveRun {
 		t.Errorf("resume: got %+v, want may_have_run", got)
 	}
-	if got := call[wire.Canceled](t, c, wire.MethodCancel, wire.Cancel{Attempt: 9, BootID: before}); got.Verdict != verdict.MayHaveRun {
+	if got := call[wire.Canceled](t, c, wire.MethodCancel, wire.Cancel{Attempt: 9, BootID: otherBootID}); got.Verdict != verdict.MayHaveRun {
 		t.Errorf("cancel: got %+v, want may_have_run", got)
 	}
 }
 
-func TestADeadlineInTheQueueIsNotRunAndOneWhileItRunsMayHaveRun(t *testing.T) {
+func TestDeadlineVerdicts(t *testing.T) {
 	c := startSlow(t, &sink{})
 	first, second := run(1, 200), run(2, 200)
 	first.Remaining, second.Remaining = 1500, 200
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestAFullQueueShedsAtOnceAndSaysWhenToComeBack(t *testing.T) {
+func TestFullQueueSheds(t *testing.T) {
 	c := startSlow(t, &sink{})
 	results := make(chan wire.Result, 3)
 	for i := range uint64(3) {
@@ -74,7 +74,7 @@
 		clock.Sleep(context.Background(), 50)
 	}
 	if got := <-results; got.Verdict != verdict.NotRun || got.Reason != verdict.Shed || got.RetryAfter <= 0 {
-		t.Errorf("first: got %+v, want the one shed, with not_run and a time", got)
+		t.Errorf("first: got %+v, want it shed, with not_run and a retry delay", got)
 	}
 	for range 2 {
 		if got := <-results; got.Reason != verdict.Deadline {
@@ -83,17 +83,16 @@
 	}
 }
 
-func TestAnEngineThatIsNotThereIsCertain(t *testing.T) {
-	c := startWith(t, &sink{}, "127.0.0.1:1")
+func TestUnreachableEngineNotRun(t *testing.T) {
+	c := startWithEngineAt(t, &sink{}, "127.0.0.1:1")
 	if got := call[wire.Result](t, c, wire.MethodRun, run(1, 5)); got.Verdict != verdict.NotRun || !got.Refused || got.Reason != verdict.Unreachable {
 		t.Errorf("got %+v, want a refusal with not_run", got)
 	}
 }
 
-// TestRefusalsAndExchangesDoNotWaitForEachOther has entries offer, peers ask
-// and the engine be polled at the same time: all need what the engine and the
-// node know. It goes on for a few polls.
-func TestRefusalsAndExchangesDoNotWaitForEachOther(t *testing.T) {
+// Entries offer requests, peers exchange and the engine is polled at the same time, for a
+// few polls. All use the state of the engine and of the node, whose locks must not deadlock.
+func TestConcurrentRefusalsAndExchanges(t *testing.T) {
 	c := start(t, &sink{})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -124,22 +123,22 @@
 	wg.Wait()
 }
 
-func TestALeavingDaemonFinishesWhatItHasAndRefusesTheRest(t *testing.T) {
+func TestDrain(t *testing.T) {
 	addr := serveEngine(t, engine.Config{ID: "e", Slots: 4, CacheTokens: 1 << 20, TokenGap: 5})
 	c, d := startDaemon(t, &sink{}, addr, 4)
 	done := make(chan wire.Result)
 	go func() { done <- call[wire.Result](t, c, wire.MethodRun, run(1, 60)) }()
 	clock.Sleep(context.Background(), 50)
-	left := make(chan int)
-	go func() { left <- d.Drain(context.Background()) }()
+	unfinished := make(chan int)
+	go func() { unfinished <- d.Drain(context.Background()) }()
 	clock.Sleep(context.Background(), 50)
 	if got := call[wire.Result](t, c, wire.MethodRun, run(2, 5)); got.Verdict != verdict.NotRun || got.Reason != verdict.Leaving || !got.Refused {
-		t.Errorf("new work: got %+v, want a refusal", got)
+		t.Errorf("new request: got %+v, want a refusal", got)
 	}
 	if got := <-done; got.Verdict != verdict.Ran {
-		t.Errorf("work in flight: got %+v, want it whole", got)
+		t.Errorf("request in flight: got %+v, want it complete", got)
 	}
-	if got := <-left; got != 0 {
-		t.Errorf("got %d cut off, want none", got)
+	if got := <-unfinished; got != 0 {
+		t.Errorf("got %d unfinished, want none", got)
 	}
 }
