--- a/common/clock/clock.go
+++ b/common/clock/clock.go
@@ -73,7 +73,7 @@
 )
 
 // System returns the clock of this process.
-func System() *Clock { return New(machine()) }
+func System() *Clock { return FromSource(machine()) }
 
 // machine returns the hands that System reads.
 var machine = func() Source { return systemHands{time.Now()} }
@@ -82,8 +82,8 @@
 // called before any other goroutine runs.
 func SetSystemSource(hands func() Source) { machine = hands }
 
-// New returns a clock that reads the given hands.
-func New(h Source) *Clock {
+// FromSource returns a clock that reads the given hands.
+func FromSource(h Source) *Clock {
 	c := &Clock{hands: h, ended: make(chan struct{})}
 	c.ahead, c.known = c.boot()
 	steady, day := h.Read()
--- a/common/clock/clock_test.go
+++ b/common/clock/clock_test.go
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := clocktest.New()
-				c := clock.New(h)
+				c := clock.FromSource(h)
 				time.Sleep(time.Second)
 				before := c.Now()
 				tc.move(h)
@@ -53,7 +53,7 @@
 func TestTheFirstReadingNoticesASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
-		c := clock.New(h)
+		c := clock.FromSource(h)
 		before, read := c.Now(), h.Boots()
 		for range 1000 {
 			c.Now()
@@ -76,7 +76,7 @@
 func TestTimeDoesNotGoBackOrJumpWhereBootIsNotTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.WithoutBoot()
-		c := clock.New(h)
+		c := clock.FromSource(h)
 		before := c.Now()
 		h.Suspend(3 * time.Second)
 		c.CheckSuspended()
@@ -105,7 +105,7 @@
 // for that, and does not take the time of before for now.
 func TestNobodyReadsTheTimeOfBeforeASuspension(t *testing.T) {
 	h := &lookedAt{Hands: clocktest.New()}
-	c := clock.New(h)
+	c := clock.FromSource(h)
 	before := c.Now()
 	other := make(chan [2]clock.Millis, 1)
 	h.look = func() {
@@ -130,7 +130,7 @@
 func TestWokeTellsTheLatestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
-		c := clock.New(h)
+		c := clock.FromSource(h)
 		if got := c.ResumedAt(); got != 0 {
 			t.Errorf("got a suspension that ended at %d, want none", got)
 		}
@@ -154,7 +154,7 @@
 func TestWaitsEndWithASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
-		c := clock.New(h)
+		c := clock.FromSource(h)
 		var mu sync.Mutex
 		var told []clock.Millis
 		c.OnSuspend(func(gap clock.Millis) {
--- a/engines/upstream/suspend_test.go
+++ b/engines/upstream/suspend_test.go
@@ -18,7 +18,7 @@
 func newSuspendedRig(t *testing.T) (*rig, *clocktest.Hands) {
 	t.Helper()
 	h := clocktest.New()
-	return newRigOn(t, clock.New(h)), h
+	return newRigOn(t, clock.FromSource(h)), h
 }
 
 // No request uses a connection that was idle during a suspension, however many there are.
--- a/fleet/source/client_test.go
+++ b/fleet/source/client_test.go
@@ -49,7 +49,7 @@
 	t.Cleanup(srv.Close)
 	link := linktest.New(t, strings.TrimPrefix(srv.URL, "http://"))
 	hands := clocktest.New()
-	c := source.New("http://"+link.Addr(), clock.New(hands))
+	c := source.New("http://"+link.Addr(), clock.FromSource(hands))
 	if _, err := c.Changes(t.Context(), source.Config, 0, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/link/silent_test.go
+++ b/link/silent_test.go
@@ -126,7 +126,7 @@
 func TestAPoolReplacesConnectionsIdleDuringASuspension(t *testing.T) {
 	t.Parallel()
 	h := clocktest.New()
-	pool := link.NewPool(clock.New(h), &peer{})
+	pool := link.NewPool(clock.FromSource(h), &peer{})
 	t.Cleanup(pool.Close)
 	l := linktest.New(t, startServer(t))
 	before, err := pool.Get(l.Addr(), link.Control)
