--- a/common/clock/clock.go
+++ b/common/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the only place that reads the time. All other packages
-// take a Clock or are handed a Millis.
+// Package clock is the only package that reads the time. All others take a
+// Clock or a Millis.
 package clock
 
 import (
@@ -9,168 +9,168 @@
 	"time"
 )
 
-// Millis is a point in time or a length of time in milliseconds. Points are
+// Millis is a point in time or a duration in milliseconds. Points are
 // counted from the start of the process unless a function says otherwise.
 type Millis int64
 
-// Duration converts m for the standard library.
+// Duration returns m as a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
 // FromDuration rounds d down to whole milliseconds.
 func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
 
-// Source are the clocks of an instance that a Clock reads.
+// Source reads the clocks of an instance.
 type Source interface {
-	// Read returns the steady time, which stands still while the instance is suspended,
-	// and the time of day, which may be set. Both are counted from moments that do not
-	// change.
-	Read() (steady, day time.Duration)
-	// SinceBoot returns the steady time with suspensions counted, from another such moment. It
-	// reports false if the instance does not tell it.
+	// Read returns the monotonic time, which stands still while the instance is
+	// suspended, and the wall time, which may be set. Each is counted from a fixed
+	// moment.
+	Read() (monotonic, wall time.Duration)
+	// SinceBoot returns the time since the boot, which includes suspensions. It returns
+	// false if the instance cannot read it.
 	SinceBoot() (time.Duration, bool)
 }
 
-// Clock tells monotonic and wall time. The zero value is not usable; use
+// Clock returns monotonic and wall time. The zero value is not usable; use
 // System. It is safe for concurrent use.
 //
-// The steady clock and the timers stand still while an instance is suspended, and ages
-// counted by them would be too young by as long. The time since the boot counts it, but
-// reading it takes a system call: 220 ns, where the steady time and the time of day together
-// take 85 and the steady time alone 45 (the benchmark of this package, one core). So it is
-// read only when the time of day has moved against the steady time, which a suspension does
-// and a set time of day, too, and by Check.
+// The monotonic clock and timers stand still while an instance is suspended, so ages
+// measured by them would be too low. The time since the boot includes suspensions, but
+// reading it takes a system call: 220 ns, against 85 ns for monotonic and wall time
+// together and 45 ns for monotonic time alone (benchmark of this package, one core). The
+// clock therefore reads it only in CheckSuspended and when the wall time has moved against
+// the monotonic time, which happens on a suspension and when the wall time is set.
 type Clock struct {
-	hands Source
-	// suspended is how long the steady time stood still so far, in nanoseconds.
+	source Source
+	// suspended is the sum of all suspensions, in nanoseconds.
 	suspended atomic.Int64
-	// woke is when the end of the latest suspension was noticed, in nanoseconds.
-	woke atomic.Int64
-	// apart is what the time of day was ahead of the steady time by when that was last
-	// looked at, in nanoseconds. It is stored after suspended and woke, so that whoever
-	// reads a new value reads theirs, too.
-	apart atomic.Int64
+	// resumedAt is when the end of the latest suspension was detected, in nanoseconds.
+	resumedAt atomic.Int64
+	// wallOffset is wall time minus monotonic time at the last comparison, in
+	// nanoseconds. It is stored after suspended and resumedAt, so that a reader of its
+	// new value also reads theirs.
+	wallOffset atomic.Int64
 
 	mu sync.Mutex
-	// ahead is what the time since the boot was ahead of the steady time by at the
-	// beginning, known if the instance tells it.
-	ahead time.Duration
-	known bool
-	// tell are told of each suspension.
-	tell []func(gap Millis)
-	// ended is closed and replaced at the end of each suspension.
-	ended chan struct{}
+	// bootOffset is the time since the boot minus monotonic time when the clock was
+	// made; hasBoot is false if the instance cannot read the former.
+	bootOffset time.Duration
+	hasBoot    bool
+	// onSuspend is called with the length of each suspension.
+	onSuspend []func(gap Millis)
+	// resumed is closed and replaced at the end of each suspension.
+	resumed chan struct{}
 }
 
 const (
-	// notice is from how far apart the hands have moved that a suspension is looked for:
+	// minSuspension is the shift between two clocks from which a suspension is assumed:
 	// far more than the time between two readings, and little against any bound.
-	notice = 20 * time.Millisecond
-	// steadyLook is how long the reading of all hands may take for them to be compared,
-	// and looks how often that is tried: a process that loses its turn in between would
-	// take that for a suspension.
-	steadyLook = time.Millisecond
-	looks      = 5
+	minSuspension = 20 * time.Millisecond
+	// maxReadTime is how long reading all clocks may take for a valid comparison, and
+	// readAttempts how often it is tried: a process that is preempted in between would
+	// mistake that for a suspension.
+	maxReadTime  = time.Millisecond
+	readAttempts = 5
 )
 
 // System returns the clock of this process.
-func System() *Clock { return FromSource(machine()) }
+func System() *Clock { return FromSource(newSystemSource()) }
 
-// machine returns the hands that System reads.
-var machine = func() Source { return systemHands{time.Now()} }
+// newSystemSource returns the source that System reads.
+var newSystemSource = func() Source { return systemSource{time.Now()} }
 
-// SetSystemSource makes System read other hands from now on. It is for processes of tests, and
-// called before any other goroutine runs.
-func SetSystemSource(hands func() Source) { machine = hands }
+// SetSystemSource makes System read another source. It is for processes of tests and must
+// be called before any other goroutine runs.
+func SetSystemSource(source func() Source) { newSystemSource = source }
 
-// FromSource returns a clock that reads the given hands.
-func FromSource(h Source) *Clock {
-	c := &Clock{hands: h, ended: make(chan struct{})}
-	c.ahead, c.known = c.boot()
-	steady, day := h.Read()
-	c.apart.Store(int64(day - steady))
+// FromSource returns a clock that reads s.
+func FromSource(s Source) *Clock {
+	c := &Clock{source: s, resumed: make(chan struct{})}
+	c.bootOffset, c.hasBoot = c.readBootOffset()
+	monotonic, wall := s.Read()
+	c.wallOffset.Store(int64(wall - monotonic))
 	return c
 }
 
-// boot returns what the time since the boot is ahead of the steady time by, or false if
-// that cannot be told.
-func (c *Clock) boot() (time.Duration, bool) {
+// readBootOffset returns the time since the boot minus the monotonic time, or false if the
+// instance cannot read the former.
+func (c *Clock) readBootOffset() (time.Duration, bool) {
 	best, known := time.Duration(0), false
-	for range looks {
-		before, _ := c.hands.Read()
-		boot, ok := c.hands.SinceBoot()
+	for range readAttempts {
+		before, _ := c.source.Read()
+		boot, ok := c.source.SinceBoot()
 		if !ok {
 			return 0, false
 		}
-		after, _ := c.hands.Read()
-		// If the process lost its turn after boot was read this is too little, never
-		// too much.
-		if ahead := boot - after; !known || ahead > best {
-			best, known = ahead, true
+		after, _ := c.source.Read()
+		// If the process was preempted after it read boot, this offset is too small,
+		// never too large.
+		if offset := boot - after; !known || offset > best {
+			best, known = offset, true
 		}
-		if after-before < steadyLook {
+		if after-before < maxReadTime {
 			return boot - after, true
 		}
 	}
 	return best, known
 }
 
-// now returns the steady time with suspensions counted.
+// now returns the monotonic time including suspensions.
 func (c *Clock) now() time.Duration {
-	steady, day := c.hands.Read()
-	moved := int64(day-steady) - c.apart.Load()
-	if max(moved, -moved) > int64(notice) {
+	monotonic, wall := c.source.Read()
+	moved := int64(wall-monotonic) - c.wallOffset.Load()
+	if max(moved, -moved) > int64(minSuspension) {
 		c.CheckSuspended()
-		steady, _ = c.hands.Read()
+		monotonic, _ = c.source.Read()
 	}
-	return steady + time.Duration(c.suspended.Load())
+	return monotonic + time.Duration(c.suspended.Load())
 }
 
-// Now returns the monotonic milliseconds since the clock was made. It goes on
-// counting while the process is stopped and while the instance is suspended. That is
-// noticed by the first who reads the clock, or, if the time of day was set back by just
-// as much, by the next Check.
+// Now returns the monotonic milliseconds since the clock was made, including the time for
+// which the process was stopped or the instance suspended. The first reading after a
+// suspension detects it or, if the wall time was set back by the same length, the next
+// CheckSuspended does.
 func (c *Clock) Now() Millis { return FromDuration(c.now()) }
 
 // Micros returns the monotonic microseconds since the clock was made, for
-// latency histograms alone.
+// latency histograms only.
 func (c *Clock) Micros() int64 { return c.now().Microseconds() }
 
-// CheckSuspended looks whether the instance was suspended.
+// CheckSuspended detects whether the instance was suspended since the last check.
 func (c *Clock) CheckSuspended() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.known {
+	if !c.hasBoot {
 		return
 	}
-	steady, day := c.hands.Read()
-	defer c.apart.Store(int64(day - steady))
-	ahead, ok := c.boot()
-	gap := ahead - c.ahead - time.Duration(c.suspended.Load())
-	if !ok || gap <= notice {
+	monotonic, wall := c.source.Read()
+	defer c.wallOffset.Store(int64(wall - monotonic))
+	bootOffset, ok := c.readBootOffset()
+	gap := bootOffset - c.bootOffset - time.Duration(c.suspended.Load())
+	if !ok || gap <= minSuspension {
 		return
 	}
-	now, _ := c.hands.Read()
-	c.woke.Store(int64(now) + c.suspended.Add(int64(gap)))
-	close(c.ended)
-	c.ended = make(chan struct{})
-	for _, f := range c.tell {
+	now, _ := c.source.Read()
+	c.resumedAt.Store(int64(now) + c.suspended.Add(int64(gap)))
+	close(c.resumed)
+	c.resumed = make(chan struct{})
+	for _, f := range c.onSuspend {
 		go f(FromDuration(gap))
 	}
 }
 
-// ResumedAt returns when the end of the latest suspension was noticed, 0 if there was none. It
-// looks for one first.
+// ResumedAt returns when the end of the latest suspension was detected, 0 if there was
+// none. It checks for one first.
 func (c *Clock) ResumedAt() Millis {
 	c.now()
-	return FromDuration(time.Duration(c.woke.Load()))
+	return FromDuration(time.Duration(c.resumedAt.Load()))
 }
 
-// OnSuspend has f told how long the instance was suspended, each time, in a goroutine of
-// its own.
+// OnSuspend registers f, which is called in a new goroutine after each suspension with the
+// length of it.
 func (c *Clock) OnSuspend(f func(gap Millis)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tell = append(c.tell, f)
+	c.onSuspend = append(c.onSuspend, f)
 }
 
 // SleepUntil waits until a point in time or until ctx is done, and reports whether the
@@ -178,7 +178,7 @@
 func (c *Clock) SleepUntil(ctx context.Context, at Millis) bool {
 	for {
 		c.mu.Lock()
-		ended := c.ended
+		resumed := c.resumed
 		c.mu.Unlock()
 		left := at - c.Now()
 		if left <= 0 {
@@ -191,14 +191,14 @@
 			return false
 		case <-t.C:
 			return true
-		case <-ended:
+		case <-resumed:
 			t.Stop()
 		}
 	}
 }
 
 // Wall returns milliseconds since the Unix epoch. Wall clocks differ between
-// instances, so it may only be compared with an allowance.
+// instances, so comparisons must allow for a difference.
 func (c *Clock) Wall() Millis { return Millis(time.Now().UnixMilli()) }
 
 // Every calls f every period until ctx is done.
@@ -215,16 +215,16 @@
 	}
 }
 
-// AfterFunc calls f in a goroutine of its own when d has gone by.
+// AfterFunc calls f in a new goroutine after d.
 func AfterFunc(d Millis, f func()) { time.AfterFunc(d.Duration(), f) }
 
-// AfterFuncWithStop calls f in a goroutine of its own when d has gone by, unless stop is called
-// before, which then returns true.
+// AfterFuncWithStop calls f in a new goroutine after d. stop cancels the call and reports
+// whether it did.
 func AfterFuncWithStop(d Millis, f func()) (stop func() bool) {
 	return time.AfterFunc(d.Duration(), f).Stop
 }
 
-// Sleep waits for d or until ctx is done, and reports whether d went by.
+// Sleep waits for d or until ctx is done, and reports whether d has passed.
 func Sleep(ctx context.Context, d Millis) bool {
 	t := time.NewTimer(d.Duration())
 	defer t.Stop()
@@ -236,22 +236,22 @@
 	}
 }
 
-// PauseDetector notices that a process stood still between two ticks, so that
-// what it knew before may be out of date.
+// PauseDetector detects that a process stood still between two ticks, so that
+// what it knew before may be outdated.
 type PauseDetector struct {
-	// limit is the longest gap between ticks that is not a pause.
+	// limit is the longest gap between ticks that does not count as a pause.
 	limit Millis
-	// last is the time of the latest tick; it never goes back.
+	// last is the time of the latest tick. It never decreases.
 	last Millis
 }
 
-// NewPauseDetector returns a detector that takes gaps over limit for pauses.
+// NewPauseDetector returns a detector that counts gaps over limit as pauses.
 func NewPauseDetector(limit, now Millis) *PauseDetector {
 	return &PauseDetector{limit: limit, last: now}
 }
 
-// Tick records that the process runs at now, and returns the length of the
-// pause that ended with it, or zero.
+// Tick records that the process runs at now. It returns the length of the
+// pause that has just ended, or zero.
 func (p *PauseDetector) Tick(now Millis) Millis {
 	gap := now - p.last
 	p.last = max(p.last, now)
@@ -261,11 +261,11 @@
 	return 0
 }
 
-// WallTime returns the wall time for libraries that want a time.Time.
+// WallTime returns the wall time for libraries that take a time.Time.
 func WallTime() time.Time { return time.Now() }
 
-// Deadline returns the point d from now for libraries that want a time.Time.
+// Deadline returns the wall time d from now for libraries that take a time.Time.
 func Deadline(d Millis) time.Time { return time.Now().Add(d.Duration()) }
 
-// NoDeadline returns the point that takes a deadline away.
+// NoDeadline returns the time that removes a deadline from a connection.
 func NoDeadline() time.Time { return time.Time{} }
--- a/common/clock/hands.go
+++ b/common/clock/source.go
@@ -6,17 +6,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemHands are the clocks of the machine.
-type systemHands struct{ start time.Time }
+// systemSource reads the clocks of the machine.
+type systemSource struct{ start time.Time }
 
 // Read implements Source.
-func (h systemHands) Read() (steady, day time.Duration) {
+func (s systemSource) Read() (monotonic, wall time.Duration) {
 	now := time.Now()
-	return now.Sub(h.start), time.Duration(now.UnixNano())
+	return now.Sub(s.start), time.Duration(now.UnixNano())
 }
 
 // SinceBoot implements Source.
-func (systemHands) SinceBoot() (time.Duration, bool) {
+func (systemSource) SinceBoot() (time.Duration, bool) {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
 		return 0, false
