--- a/table/table.go
+++ b/table/table.go
@@ -1,7 +1,7 @@
-// Package table holds what the operators have published about requests: the
-// routes, the services behind them, the workspaces with their keys, and the
-// bounds for callers. A Table is one version, whole and immutable; the process
-// swaps one for the next. It is pure.
+// Package table holds the published configuration of request handling: routes,
+// services, workspaces with their keys, and limits for callers. A Table is one
+// complete, immutable version, which the process replaces as a whole. The package
+// does no I/O and reads no clock.
 package table
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Kind says what may be done with a request of a route when an attempt fails.
+// Kind determines what may be done with a request when an attempt fails.
 type Kind string
 
 const (
@@ -22,8 +22,8 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream answers come as events. Unless the route is resumable, such a
-	// request runs at most once.
+	// Stream requests are answered with a stream of events. They run at most
+	// once, unless the route is resumable.
 	Stream Kind = "stream"
 )
 
@@ -33,39 +33,41 @@
 	Weight  int
 }
 
-// Route says which service takes the requests of a host and path.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins the path; it starts and ends with a slash.
+	// Prefix is the leading part of the path. It starts with a slash and usually ends
+	// with one.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time a request is held.
+	// Timeout is the maximum time for a request.
 	Timeout clock.Millis
-	// Goal is the time within which an answer, or the first event of one,
-	// is on time.
+	// Goal is the latency objective: the time to the response, or to its first
+	// event.
 	Goal clock.Millis
-	// PauseGoal is the longest pause between events that is on time.
+	// PauseGoal is the objective for the longest pause between events.
 	PauseGoal clock.Millis
-	// Priority ranks the route; 0 is the most urgent.
+	// Priority of the route; 0 is the most urgent.
 	Priority int
 	// Shares is not empty and sorted by service.
 	Shares []Share
-	// Attempts is the most engines that one request is sent to, at least 1.
+	// Attempts is the maximum number of engines that a request is sent to, at least 1.
 	Attempts int
 	// Public routes need no key.
 	Public bool
-	// PromptAffinity requests name the parts of their prompt, which engines keep.
+	// PromptAffinity is true if requests name the parts of their prompt, so that they can
+	// go to an engine that has it cached.
 	PromptAffinity bool
-	// Resumable streams may go on at another engine.
+	// Resumable streams may continue at another engine.
 	Resumable bool
 }
 
-// usualGoal stands for the goal of a route that publishes none.
-const usualGoal clock.Millis = 500
+// defaultGoal is the goal of a route that publishes none.
+const defaultGoal clock.Millis = 500
 
-// GoalOrDefault returns the goal, or what stands for it where none is published.
-func (r *Route) GoalOrDefault() clock.Millis { return cmp.Or(r.Goal, usualGoal) }
+// GoalOrDefault returns the goal, or the default if none is published.
+func (r *Route) GoalOrDefault() clock.Millis { return cmp.Or(r.Goal, defaultGoal) }
 
 // Retryable reports whether a request may be sent to a second engine after
 // the first may have run it.
@@ -76,102 +78,99 @@
 // Service is a group of engines that serve the same requests.
 type Service struct {
 	Name string
-	// MaxConns is how many connections one engine takes from all callers.
+	// MaxConns limits the connections of all callers to one engine.
 	MaxConns int
-	// HealthPath is where its engines say whether they are healthy, "" if that is not
-	// published.
+	// HealthPath is the path of the engines' health check, "" if none is published.
 	HealthPath string
-	// PrefixTransfer is true if its engines take what others keep of a prompt.
+	// PrefixTransfer is true if its engines can fetch cached prefixes from each other.
 	PrefixTransfer bool
-	// TransferTimePerToken is how long an engine takes to have one token of a prompt from another of
-	// its data hall, in milliseconds; zero if that is not published.
+	// TransferTimePerToken is how long an engine takes to fetch one token of a cached
+	// prefix from another in its data hall, in milliseconds; zero if not published.
 	TransferTimePerToken float64
-	// EventTokens is how many tokens an event of a stream holds; the last may
-	// hold fewer. Zero if that is not published.
+	// EventTokens is the number of tokens in an event of a stream; the last may
+	// have fewer. Zero if not published.
 	EventTokens int
-	// Warmup is how long an engine stays cold after its start, zero if none does,
-	// and WarmupRate how many requests a second it bears meanwhile.
+	// Warmup is how long an engine is slow after its start, zero if not at all, and
+	// WarmupRate how many requests per second it can handle meanwhile.
 	Warmup     clock.Millis
 	WarmupRate float64
 }
 
-// Workspace is a group of callers that share keys.
+// Workspace is a group of callers that share bearer keys.
 type Workspace struct {
 	Name string
-	// Keys are bearer keys.
 	Keys []string
-	// Priority goes before that of the route; nil if the workspace has none.
+	// Priority overrides that of the route; nil if the workspace has none.
 	Priority *int
 }
 
-// Limits bound what a caller may send. Zero means no bound.
+// Limits bound what a caller may send. Zero means no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// Header is how long a head may take to arrive.
+	// Header is the timeout for reading the head of a request.
 	Header clock.Millis
-	// Idle is how long a connection may rest between requests.
+	// Idle is how long a connection may be idle between requests.
 	Idle clock.Millis
 }
 
-// Config is what a Table is made of. Versions may share routes and workspaces, which
-// nobody changes.
+// Config is the content of a Table. Versions may share routes and workspaces, which are
+// immutable.
 type Config struct {
 	Version  int64
 	Routes   []*Route
 	Services []Service
-	// RequireKey is true when requests need a key, even if no key is left.
+	// RequireKey is true if requests need a key, even if no workspace has one.
 	RequireKey bool
 	Workspaces []*Workspace
 	Limits     Limits
 }
 
-// Arrival tells how a version came to this process.
+// Arrival describes how a version reached this process.
 type Arrival struct {
-	// ConfirmedAt is the latest time at which it is known to have been the newest.
+	// ConfirmedAt is the latest time at which the version is known to have been the newest.
 	ConfirmedAt clock.Millis
-	// Epoch is that of the source which the answer that brought it was of, zero if it
-	// tells none.
+	// Epoch is the epoch of the source in the response, zero if the source reports none.
 	Epoch int64
-	// ResponseStartedAt is when the answer that brought it began, zero if that is not known.
+	// ResponseStartedAt is when the response began, zero if not known.
 	ResponseStartedAt clock.Millis
-	// Bytes is the size of that answer and Transfer how long it took.
+	// Bytes is the size of the response and Transfer how long it took.
 	Bytes    int
 	Transfer clock.Millis
-	// DecodeMicros and BuildMicros are what it took to read the answer's text and to
-	// make the Table, in microseconds.
+	// DecodeMicros and BuildMicros are the times to decode the response and to build the
+	// Table, in microseconds.
 	DecodeMicros, BuildMicros int64
 }
 
-// place is where requests come in: a host, in lower case, and a prefix of the path.
-type place struct{ host, prefix string }
+// routeKey is a host, in lower case, and a prefix of the path.
+type routeKey struct{ host, prefix string }
 
 // Table is one version of the published routes and keys.
 type Table struct {
 	version int64
-	// routes has the route of each place whose prefix ends with a slash, others
-	// those of a host that do not, the longest prefix first.
-	routes map[place]*Route
-	others map[string][]*Route
-	// longest is the length of the longest prefix in routes.
-	longest  int
-	services map[string]Service
-	keyed    bool
-	byKey    map[string]*Workspace
-	limits   Limits
+	// slashRoutes has the routes whose prefix ends with a slash; otherRoutes has the
+	// others of each host, the longest prefix first.
+	slashRoutes map[routeKey]*Route
+	otherRoutes map[string][]*Route
+	// maxPrefix is the length of the longest prefix in slashRoutes.
+	maxPrefix int
+	services  map[string]Service
+	keyed     bool
+	byKey     map[string]*Workspace
+	limits    Limits
 }
 
-// New returns the table of cfg. The longest prefix of a host goes before the
-// others, and the first of two routes with the same.
+// New returns the table of cfg. The longest matching prefix of a host wins; of two
+// routes with the same prefix, the first does.
 func New(cfg Config) *Table {
 	t := &Table{
 		version: cfg.Version, limits: cfg.Limits, keyed: cfg.RequireKey,
-		routes: make(map[place]*Route, len(cfg.Routes)), others: map[string][]*Route{}, services: map[string]Service{}, byKey: map[string]*Workspace{},
+		slashRoutes: make(map[routeKey]*Route, len(cfg.Routes)), otherRoutes: map[string][]*Route{}, services: map[string]Service{}, byKey: map[string]*Workspace{},
 	}
 	for _, r := range cfg.Routes {
-		t.add(ordered(r))
+		t.addRoute(normalized(r))
 	}
-	for _, routes := range t.others {
+	for _, routes := range t.otherRoutes {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for _, s := range cfg.Services {
@@ -185,9 +184,9 @@
 	return t
 }
 
-// ordered returns the route with its host in lower case and its shares sorted: the
-// route itself if they are.
-func ordered(r *Route) *Route {
+// normalized returns the route with its host in lower case and its shares sorted: r
+// itself if they already are.
+func normalized(r *Route) *Route {
 	host := strings.ToLower(r.Host)
 	byService := func(a, b Share) int { return cmp.Compare(a.Service, b.Service) }
 	if host == r.Host && slices.IsSortedFunc(r.Shares, byService) {
@@ -199,25 +198,25 @@
 	return &c
 }
 
-func (t *Table) add(r *Route) {
+func (t *Table) addRoute(r *Route) {
 	if !strings.HasSuffix(r.Prefix, "/") {
-		t.others[r.Host] = append(t.others[r.Host], r)
+		t.otherRoutes[r.Host] = append(t.otherRoutes[r.Host], r)
 		return
 	}
-	p := place{r.Host, r.Prefix}
-	if t.routes[p] == nil {
-		t.routes[p] = r
-		t.longest = max(t.longest, len(r.Prefix))
+	k := routeKey{r.Host, r.Prefix}
+	if t.slashRoutes[k] == nil {
+		t.slashRoutes[k] = r
+		t.maxPrefix = max(t.maxPrefix, len(r.Prefix))
 	}
 }
 
-// Version returns the version that the operators gave.
+// Version returns the number that the operators gave the version.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns the bounds for callers.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.limits }
 
-// RequiresKey reports whether requests need a key, but on public routes.
+// RequiresKey reports whether requests need a key, except on public routes.
 func (t *Table) RequiresKey() bool { return t.keyed }
 
 // Route returns the route of a host, with or without a port, and a path, or
@@ -227,8 +226,8 @@
 		host = host[:i]
 	}
 	host = strings.ToLower(host)
-	best := t.slashed(host, path)
-	for _, r := range t.others[host] {
+	best := t.longestSlashPrefix(host, path)
+	for _, r := range t.otherRoutes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			if best == nil || len(r.Prefix) > len(best.Prefix) {
 				best = r
@@ -239,20 +238,20 @@
 	return best, best != nil
 }
 
-// slashed returns the route whose prefix is the longest that begins the path and
-// ends with a slash, nil if there is none. It looks up a prefix for each slash that
-// may end one, so it takes as long among a hundred thousand routes as among four.
-func (t *Table) slashed(host, path string) *Route {
-	path = path[:min(len(path), t.longest)]
+// longestSlashPrefix returns the route with the longest matching prefix that ends with a
+// slash, nil if there is none. It looks up one prefix per slash in the path, so it takes
+// as long with a hundred thousand routes as with four.
+func (t *Table) longestSlashPrefix(host, path string) *Route {
+	path = path[:min(len(path), t.maxPrefix)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if r := t.routes[place{host, path[:end+1]}]; r != nil {
+		if r := t.slashRoutes[routeKey{host, path[:end+1]}]; r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-// Workspace returns the workspace that holds a key, or false.
+// Workspace returns the workspace of a bearer key, or false.
 func (t *Table) Workspace(key string) (*Workspace, bool) {
 	w, ok := t.byKey[key]
 	return w, ok
@@ -264,8 +263,8 @@
 	return s, ok
 }
 
-// PickService chooses one of the route's services by weight. Every process gives
-// equal keys the same service.
+// PickService chooses one of the route's services by weight. All processes choose the
+// same service for the same key.
 func (r *Route) PickService(key string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -8,7 +8,7 @@
 	"github.com/weldfall/weldfall/table"
 )
 
-func routes() *table.Table {
+func newTable() *table.Table {
 	return table.New(table.Config{Version: 3, RequireKey: true, Routes: []*table.Route{
 		{Name: "short", Host: "A.example", Prefix: "/a/"},
 		{Name: "long", Host: "a.example", Prefix: "/a/b/"},
@@ -20,7 +20,7 @@
 	}, Workspaces: []*table.Workspace{{Name: "w", Keys: []string{"k1", "k2"}}}})
 }
 
-func TestTheLongestPrefixOfAHostWins(t *testing.T) {
+func TestLongestPrefixOfHostWins(t *testing.T) {
 	for _, tc := range []struct{ host, path, want string }{
 		{"a.example", "/a/x", "short"},
 		{"A.EXAMPLE:8080", "/a/b/x", "long"},
@@ -35,7 +35,7 @@
 		{"c.example", "/a/", ""},
 	} {
 		got := ""
-		if r, ok := routes().Route(tc.host, tc.path); ok {
+		if r, ok := newTable().Route(tc.host, tc.path); ok {
 			got = r.Name
 		}
 		if got != tc.want {
@@ -44,10 +44,10 @@
 	}
 }
 
-func TestKeysBelongToWorkspaces(t *testing.T) {
+func TestWorkspaceOfKey(t *testing.T) {
 	for key, want := range map[string]string{"k1": "w", "k2": "w", "k3": "", "": ""} {
 		got := ""
-		if w, ok := routes().Workspace(key); ok {
+		if w, ok := newTable().Workspace(key); ok {
 			got = w.Name
 		}
 		if got != want {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestServicesAreTakenByWeight(t *testing.T) {
+func TestPickServiceByWeight(t *testing.T) {
 	r := table.Route{Shares: []table.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	got := map[string]int{}
 	const n = 10_000
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,6 +1,5 @@
-// Package verdict says what is known about a request that has no whole
-// answer: whether it may have run. Every error that can reach a caller
-// carries a Verdict.
+// Package verdict classifies failed requests by whether they may have run.
+// Every error that can reach a caller carries a Verdict.
 package verdict
 
 import (
@@ -10,16 +9,16 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Verdict says whether a request may have run.
+// Verdict is whether a request may have run.
 type Verdict string
 
 const (
-	// NotRun is said only when it is certain that no engine or service
-	// started the request, under this attempt or an earlier one.
+	// NotRun is used only if it is certain that no engine or service has
+	// started the request, in this attempt or an earlier one.
 	NotRun Verdict = "not_run"
-	// MayHaveRun is said whenever NotRun is not certain.
+	// MayHaveRun is used whenever NotRun is not certain.
 	MayHaveRun Verdict = "may_have_run"
-	// Ran is said when the whole answer is known.
+	// Ran is used if the complete response is known.
 	Ran Verdict = "ran"
 )
 
@@ -55,7 +54,7 @@
 type Error struct {
 	verdict Verdict
 	reason  Reason
-	// retryAfter is zero where coming back does not help.
+	// retryAfter is zero if a retry does not help.
 	retryAfter clock.Millis
 	cause      error
 }
@@ -66,7 +65,7 @@
 	return &Error{verdict: v, reason: r, cause: fmt.Errorf(format, args...)}
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to come back.
+// WithRetryAfter returns a copy of e that tells the caller to retry after d.
 func (e *Error) WithRetryAfter(d clock.Millis) *Error {
 	c := *e
 	c.retryAfter = d
@@ -85,14 +84,15 @@
 // Reason returns the machine-readable cause.
 func (e *Error) Reason() Reason { return e.reason }
 
-// RetryAfter returns when coming back may help, in milliseconds, or zero.
+// RetryAfter returns the delay after which a retry may succeed, zero if a retry does not
+// help.
 func (e *Error) RetryAfter() clock.Millis { return e.retryAfter }
 
-// Message returns the cause without verdict and reason.
+// Message returns the text of the cause, without verdict and reason.
 func (e *Error) Message() string { return e.cause.Error() }
 
-// From finds the Error in err. An error that carries none counts as
-// MayHaveRun, since nothing proves otherwise.
+// From returns the Error that err wraps. An error without one counts as
+// MayHaveRun, since nothing excludes it.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -8,7 +8,7 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-func TestAnErrorWithoutVerdictMayHaveRun(t *testing.T) {
+func TestErrorWithoutVerdictMayHaveRun(t *testing.T) {
 	e := verdict.From(errors.New("broken pipe"))
 	if got, want := e.Verdict(), verdict.MayHaveRun; got != want {
 		t.Errorf("got %q, want %q", got, want)
