--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/weldfall/weldfall/settings"
 )
 
-// grow returns a tree with n workspace branches, all resolved.
-func grow(n int) *settings.Tree {
+// newTree returns a tree with n workspace branches, all resolved.
+func newTree(n int) *settings.Tree {
 	tree := settings.NewTree()
 	_, _ = tree.Apply("fleet", "[routing]\nload_bound = 1.3\n[models]\n\"draft-1\" = \"drafting\"\n", 1)
 	for i := range n {
@@ -22,7 +22,7 @@
 
 func BenchmarkResolve(b *testing.B) {
 	for _, n := range []int{20, 12_000} {
-		tree := grow(n)
+		tree := newTree(n)
 		b.Run(fmt.Sprint("warm/branches=", n), func(b *testing.B) {
 			for b.Loop() {
 				tree.Effective("partner1/ws7/chat")
@@ -39,11 +39,11 @@
 	}
 }
 
-// TestAChangeCostsTheSameInALargeTree checks growth by allocations.
-func TestAChangeCostsTheSameInALargeTree(t *testing.T) {
+// The cost of a change must not grow with the number of branches; allocations are its measure.
+func TestChangeCostIsIndependentOfTreeSize(t *testing.T) {
 	var got []float64
 	for _, n := range []int{20, 12_000} {
-		tree := grow(n)
+		tree := newTree(n)
 		rev := int64(n + 10)
 		got = append(got, testing.AllocsPerRun(100, func() {
 			rev++
@@ -56,13 +56,14 @@
 	}
 }
 
-func TestABranchCostsTheSameInALargeTree(t *testing.T) {
-	cost := func(n int) float64 {
-		return heaptest.BytesEach(n, func() *settings.Tree { return grow(n) })
+// The memory of a branch must not grow with the number of branches.
+func TestBranchMemoryIsIndependentOfTreeSize(t *testing.T) {
+	bytesPerBranch := func(n int) float64 {
+		return heaptest.BytesEach(n, func() *settings.Tree { return newTree(n) })
 	}
-	small, large := cost(200), cost(12_000)
-	t.Logf("%.0f bytes a branch at 200, %.0f at 12,000", small, large)
+	small, large := bytesPerBranch(200), bytesPerBranch(12_000)
+	t.Logf("%.0f bytes per branch at 200, %.0f at 12,000", small, large)
 	if large > 8000 || large > 1.5*small {
-		t.Errorf("got %.0f and %.0f bytes a branch, want at most 8,000 and no growth", small, large)
+		t.Errorf("got %.0f and %.0f bytes per branch, want at most 8,000 and no growth", small, large)
 	}
 }
--- a/settings/branch.go
+++ b/settings/branch.go
@@ -10,19 +10,19 @@
 	"github.com/weldfall/weldfall/common/strict"
 )
 
-// Limits on what a branch may be.
+// Limits of a branch.
 const (
-	// MaxBranchBytes is the platform's own limit on a value.
+	// MaxBranchBytes is the platform's limit on the size of a value.
 	MaxBranchBytes = 1 << 20
-	// MaxDepth is fleet, partner, workspace, service.
+	// MaxDepth is the depth of a service, below fleet, partner and workspace.
 	MaxDepth = 3
-	// MaxKeys bounds the keys that one branch may name.
+	// MaxKeys limits the keys that a branch may set.
 	MaxKeys = 4096
-	// MaxPathSegment bounds the length of one name in a path, in bytes.
+	// MaxPathSegment limits the length of a name in a path, in bytes.
 	MaxPathSegment = 64
 )
 
-// Depth returns how far path is below the fleet: 0 for "fleet", 1 for a
+// Depth returns the depth of path below the fleet: 0 for "fleet", 1 for a
 // partner, 2 for a workspace, 3 for a service.
 func Depth(path string) int {
 	if path == FleetPath {
@@ -34,8 +34,8 @@
 // FleetPath is the root of the tree.
 const FleetPath = "fleet"
 
-// Ancestors returns the paths whose branches apply to path, from the root on
-// and with path itself.
+// Ancestors returns the paths whose branches apply to path, from the root to
+// path itself.
 func Ancestors(path string) []string {
 	paths := []string{FleetPath}
 	if path == FleetPath {
@@ -49,7 +49,7 @@
 	return append(paths, path)
 }
 
-// CheckPath returns an error unless path can name a branch.
+// CheckPath returns an error unless path is valid for a branch.
 func CheckPath(path string) error {
 	if Depth(path) > MaxDepth {
 		return fmt.Errorf("path %q: deeper than partner/workspace/service", path)
@@ -58,30 +58,30 @@
 		if segment == "" || len(segment) > MaxPathSegment {
 			return fmt.Errorf("path %q: each name has 1 to %d bytes", path, MaxPathSegment)
 		}
-		if strings.ContainsFunc(segment, notNameRune) {
+		if strings.ContainsFunc(segment, invalidInName) {
 			return fmt.Errorf("path %q: names use a-z, 0-9, '-' and '_'", path)
 		}
 	}
 	return nil
 }
 
-func notNameRune(r rune) bool {
+func invalidInName(r rune) bool {
 	return (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '-' && r != '_'
 }
 
-// Branch is one decoded branch. It is never changed after ParseBranch.
+// Branch is a decoded branch. It is immutable.
 type Branch struct {
 	path string
 	text string
-	// keys are the dotted keys that the branch names, sorted.
+	// keys are the dotted keys that the branch sets, sorted.
 	keys []string
-	// values has the dotted keys with their values as written.
+	// values has the value of each dotted key as written.
 	values map[string]any
 	// locks are the keys that branches below may not set.
 	locks []string
 }
 
-// Path returns where the branch is in the tree.
+// Path returns the path of the branch in the tree.
 func (b *Branch) Path() string { return b.path }
 
 // Sets reports whether the branch sets the dotted key.
@@ -90,8 +90,8 @@
 	return ok
 }
 
-// ParseBranch decodes and checks the text of the branch at path on its own.
-// Errors name path, line, column, key and remedy.
+// ParseBranch decodes the text of the branch at path and checks it apart from all
+// other branches. Errors name path, line, column, key and remedy.
 func ParseBranch(path, text string) (*Branch, error) {
 	if err := CheckPath(path); err != nil {
 		return nil, err
@@ -116,14 +116,15 @@
 	if len(b.keys) > MaxKeys {
 		return nil, fmt.Errorf("%s: %d keys exceed the limit of %d: split the branch", path, len(b.keys), MaxKeys)
 	}
-	if err := b.checkPlace(); err != nil {
+	if err := b.checkDepth(); err != nil {
 		return nil, err
 	}
 	return b, checkRanges(path, text, v)
 }
 
-// checkPlace refuses keys that have no meaning at the branch's depth.
-func (b *Branch) checkPlace() error {
+// checkDepth returns an error if a key is not allowed at the depth of the branch or if a
+// locked key does not exist.
+func (b *Branch) checkDepth() error {
 	depth := Depth(b.path)
 	for _, k := range b.keys {
 		switch {
@@ -146,6 +147,7 @@
 	return nil
 }
 
+// flatten adds the values of m to out under their dotted keys.
 func flatten(prefix string, m map[string]any, out map[string]any) {
 	for k, v := range m {
 		key := prefix + k
--- a/settings/check.go
+++ b/settings/check.go
@@ -8,7 +8,7 @@
 	"github.com/weldfall/weldfall/common/strict"
 )
 
-// bound is the valid range of one number, ends included.
+// bound is the valid range of a number, including both ends.
 type bound struct {
 	key      string
 	low, top float64
@@ -38,21 +38,21 @@
 	{"objectives.served_target", 0, 0.999999, func(v *Values) float64 { return v.Objectives.ServedTarget }},
 }
 
-// checkRanges refuses numbers out of range and malformed key hashes.
+// checkRanges returns an error if a number is out of range or a key hash is malformed.
 func checkRanges(path, text string, v Values) error {
 	for _, b := range bounds {
-		// The negated form also refuses NaN.
+		// The negated condition also rejects NaN.
 		if x := b.get(&v); !(x >= b.low && x <= b.top) {
 			return strict.LineError(path, text, b.key, fmt.Sprintf("%v is out of range: write %v to %v", x, b.low, b.top))
 		}
 	}
 	for _, h := range v.Access.KeySHA256 {
 		if raw, err := hex.DecodeString(h); err != nil || len(raw) != 32 {
-			return strict.LineError(path, text, "access.key_sha256", "needs 64 hex digits: write the SHA-256 of the whole bearer key")
+			return strict.LineError(path, text, "access.key_sha256", "needs 64 hex digits: write the SHA-256 of the complete bearer key")
 		}
 	}
 	return nil
 }
 
-// KnownKeys returns the dotted names of all settings, sorted.
+// KnownKeys returns the dotted keys of all settings, sorted.
 var KnownKeys = sync.OnceValue(func() []string { return strict.KeysOf(&Values{}) })
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,7 +14,7 @@
 	return got
 }
 
-func TestBranchesInheritAndOverrideOnlyWhatTheyName(t *testing.T) {
+func TestBranchInheritsUnsetKeys(t *testing.T) {
 	tree := settings.NewTree()
 	apply(t, tree, "fleet", "[routing]\nload_bound = 1.5\n[models]\na = \"pool-a\"\n", 1)
 	apply(t, tree, "planning", "[limits]\ndeadline_ms = 5000\n[models]\nb = \"pool-b\"\n", 2)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestOlderValuesNeverWin(t *testing.T) {
+func TestOlderRevisionIsIgnored(t *testing.T) {
 	tree := settings.NewTree()
 	apply(t, tree, "planning", "[limits]\ndeadline_ms = 2000\n", 10)
 	if got, want := apply(t, tree, "planning", "[limits]\ndeadline_ms = 1000\n", 9), settings.Older; got != want {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestABadBranchFailsAloneAndTheLastGoodOneStays(t *testing.T) {
+func TestInvalidBranchKeepsLastGoodAndOthers(t *testing.T) {
 	tree := settings.NewTree()
 	apply(t, tree, "planning", "[limits]\ndeadline_ms = 2000\n", 1)
 	apply(t, tree, "vigia", "[limits]\ndeadline_ms = 3000\n", 2)
@@ -70,11 +70,11 @@
 	}
 	apply(t, tree, "planning", "[limits]\ndeadline_ms = 4000\n", 4)
 	if len(tree.Problems()) != 0 || tree.Effective("planning").Limits.DeadlineMS != 4000 {
-		t.Errorf("after the mend: got %+v", tree.Problems())
+		t.Errorf("after a valid value: got %+v", tree.Problems())
 	}
 }
 
-func TestALockWinsInEitherOrder(t *testing.T) {
+func TestLockAppliesInEitherOrder(t *testing.T) {
 	lock := "[routing]\nload_bound = 1.2\n[lock]\nkeys = [\"routing.load_bound\"]\n"
 	child := "[routing]\nload_bound = 9.0\n[limits]\ndeadline_ms = 1234\n"
 	for _, lockFirst := range []bool{true, false} {
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestMistakesAreNamedWithPlaceAndRemedy(t *testing.T) {
+func TestParseErrorNamesPlaceAndRemedy(t *testing.T) {
 	for _, c := range []struct{ path, text, want string }{
 		{"planning", "[limits]\ndeadline = 5\n", `planning:2:1: key "limits.deadline": unknown setting: did you mean "limits.deadline_ms"?`},
 		{"planning", "\n[routing]\nload_bound = 0.5\n", `planning:3: key "routing.load_bound": 0.5 is out of range: write 1.01 to 100`},
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestExplainNamesTheBranchThatSetAValue(t *testing.T) {
+func TestExplainReturnsSourceBranch(t *testing.T) {
 	tree := settings.NewTree()
 	apply(t, tree, "fleet", "[routing]\nload_bound = 1.5\n", 4)
 	apply(t, tree, "planning/ws0", "[limits]\ndeadline_ms = 900\n", 6)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestOnlyTheWholeKeyOpensAWorkspace(t *testing.T) {
+func TestAuthenticateRequiresCompleteKey(t *testing.T) {
 	tree := settings.NewTree()
 	apply(t, tree, "planning/ws0", "[access]\nkey_sha256 = [\""+settings.HashKey("planning.ws0.secret")+"\"]\n", 1)
 	if got, err := tree.Authenticate("planning.ws0.secret"); err != nil || got != "planning/ws0" {
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestEverySettingIsInTheReference(t *testing.T) {
+func TestReferenceListsAllSettings(t *testing.T) {
 	page, err := os.ReadFile("../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -15,59 +15,59 @@
 	"github.com/weldfall/weldfall/common/strict"
 )
 
-// entry is what the tree holds of one path.
+// entry is the state of one path.
 type entry struct {
 	// rev is the revision of the latest value seen, valid or not. It never
-	// goes down.
+	// decreases.
 	rev int64
-	// good is the last valid branch, nil if there was none.
+	// good is the last valid branch, nil if there was none, and goodRev its revision.
 	good    *Branch
 	goodRev int64
-	// err says why the latest value is not in force; nil if it is.
+	// err is the reason why the latest value is not in force; nil if it is.
 	err error
-	// change counts the changes of what is in force; it never goes down.
-	change int64
+	// changes counts the changes of the branch in force. It never decreases.
+	changes int64
 }
 
 // maxLevels is the number of branches that can apply to a path.
 const maxLevels = MaxDepth + 1
 
-// cached is the effective values of a path with the changes that they are
-// based on, one for each branch above it and its own.
-type cached struct {
+// resolution has the effective values of a path and the change counters that they are
+// based on, one for each of its ancestors and itself.
+type resolution struct {
 	values  Values
 	changes [maxLevels]int64
 }
 
-// Tree is the settings as one process knows them. It is not safe for
+// Tree holds the settings that one process knows. It is not safe for
 // concurrent use.
 type Tree struct {
 	entries map[string]*entry
-	// resolved caches effective values; one is used only while the branches
-	// that it was made of have not changed.
-	resolved map[string]cached
+	// resolved caches effective values. An item is valid only while none of its
+	// branches has changed.
+	resolved map[string]resolution
 }
 
 // NewTree returns a tree in which only the defaults are in force.
 func NewTree() *Tree {
-	return &Tree{entries: map[string]*entry{}, resolved: map[string]cached{}}
+	return &Tree{entries: map[string]*entry{}, resolved: map[string]resolution{}}
 }
 
-// ApplyResult says what became of a value.
+// ApplyResult is the outcome of applying a value.
 type ApplyResult string
 
 const (
 	// InForce means that the value is now in force.
 	InForce ApplyResult = "in_force"
-	// Older means that a newer value is known; nothing changed.
+	// Older means that this or a newer revision is known; nothing changed.
 	Older ApplyResult = "older"
-	// Invalid means that the last good value stays in force.
+	// Invalid means that the value is not valid; the last good one stays in force.
 	Invalid ApplyResult = "invalid"
 )
 
-// Apply takes the text of a branch with the platform's revision. Values that
-// are not newer than the known one change nothing. On Invalid the error says
-// why, and the last good value stays in force.
+// Apply sets the text of the branch at path at the platform's revision. A revision
+// that is not newer than the known one changes nothing. The error is non-nil if the
+// result is Invalid, and the last good value then stays in force.
 func (t *Tree) Apply(path, text string, rev int64) (ApplyResult, error) {
 	e := t.entries[path]
 	if e == nil {
@@ -83,12 +83,13 @@
 		return Invalid, err
 	}
 	e.good, e.goodRev = b, rev
-	e.change++
+	e.changes++
 	return InForce, nil
 }
 
-// ApplyLastGood takes the last valid value of a branch whose newer value is not
-// valid, as a peer remembers it. The newest valid one known stays in force.
+// ApplyLastGood sets the last valid value of a branch, as a peer remembers it, if the
+// branch has a newer, invalid value. It changes nothing unless rev is newer than that of
+// the branch in force, and returns an error if text is invalid.
 func (t *Tree) ApplyLastGood(path, text string, rev int64) error {
 	e := t.entries[path]
 	if e == nil {
@@ -102,12 +103,12 @@
 		return err
 	}
 	e.good, e.goodRev = b, rev
-	e.change++
+	e.changes++
 	t.entries[path] = e
 	return nil
 }
 
-// Remove takes the deletion of a branch at revision rev.
+// Remove deletes a branch at revision rev, unless that is not newer than the known one.
 func (t *Tree) Remove(path string, rev int64) ApplyResult {
 	e := t.entries[path]
 	if e == nil {
@@ -117,23 +118,23 @@
 	if rev <= e.rev {
 		return Older
 	}
-	*e = entry{rev: rev, change: e.change + 1}
+	*e = entry{rev: rev, changes: e.changes + 1}
 	return InForce
 }
 
-// changes returns the state of the branches that apply to a path.
-func (t *Tree) changes(ancestors []string) (out [maxLevels]int64) {
+// changesOf returns the change counters of the given branches.
+func (t *Tree) changesOf(ancestors []string) (out [maxLevels]int64) {
 	for i, p := range ancestors {
 		if e := t.entries[p]; e != nil {
-			out[i] = e.change
+			out[i] = e.changes
 		}
 	}
 	return out
 }
 
-// LockedKey returns an error if the branch in force at path sets a key that is
-// locked above it. Such a key has no effect, whichever of the two branches
-// came first, so that all processes agree; the rest of the branch is in force.
+// LockedKey returns an error if the branch in force at path sets a key that an
+// ancestor locks. Such a key has no effect, whichever of the two branches was
+// applied first, so that all processes agree; the rest of the branch is in force.
 func (t *Tree) LockedKey(path string) error {
 	e := t.entries[path]
 	if e == nil || e.good == nil {
@@ -157,14 +158,14 @@
 	return nil
 }
 
-// Effective returns the values in force at path. A path without a branch of
-// its own has what it inherits.
+// Effective returns the values in force at path. A path without its own branch
+// inherits all values.
 func (t *Tree) Effective(path string) Values {
 	ancestors := Ancestors(path)
 	if len(ancestors) > maxLevels {
 		return Defaults()
 	}
-	changes := t.changes(ancestors)
+	changes := t.changesOf(ancestors)
 	if c, ok := t.resolved[path]; ok && c.changes == changes {
 		return c.values
 	}
@@ -180,19 +181,19 @@
 			locked[k] = true
 		}
 	}
-	t.resolved[path] = cached{v, changes}
+	t.resolved[path] = resolution{v, changes}
 	return v
 }
 
-// overlay sets in v what b names, but for locked keys: a lock that came after
-// the branch wins over it.
+// overlay sets the keys of b in v, except locked ones: a lock also applies to a branch
+// that was published before it.
 func overlay(v *Values, b *Branch, locked map[string]bool) {
 	before := *v
 	before.Models = maps.Clone(v.Models)
 	v.Models = maps.Clone(v.Models)
-	clash := slices.ContainsFunc(b.keys, func(k string) bool { return locked[k] })
+	setsLocked := slices.ContainsFunc(b.keys, func(k string) bool { return locked[k] })
 	text := b.text
-	if clash {
+	if setsLocked {
 		text = withoutLocked(b, locked)
 	}
 	if err := toml.Unmarshal([]byte(text), v); err != nil {
@@ -200,6 +201,7 @@
 	}
 }
 
+// withoutLocked returns the text of b without the locked keys.
 func withoutLocked(b *Branch, locked map[string]bool) string {
 	kept := map[string]any{}
 	for k, val := range b.values {
@@ -225,18 +227,19 @@
 	return string(out)
 }
 
-// Source is where an effective value comes from.
+// Source is an effective value and its origin.
 type Source struct {
 	Key   string `json:"key"`
 	Value any    `json:"value"`
 	// Path is the branch that set the value, or "default".
 	Path string `json:"path"`
-	// Revision is that branch's, zero for a default.
+	// Revision is the revision of that branch, zero for a default.
 	Revision int64 `json:"revision"`
 }
 
 // Explain returns the effective value of each known key at path and the
-// branch that set it; key narrows the answer to one if it is not empty.
+// branch that set it, or only those of key if it is not empty. It fails if path or key
+// is invalid.
 func (t *Tree) Explain(path, key string) ([]Source, error) {
 	if err := CheckPath(path); err != nil {
 		return nil, err
@@ -288,7 +291,7 @@
 	return s
 }
 
-// Problem is a branch whose latest value is not, or not wholly, in force.
+// Problem is a branch whose latest value is not, or not completely, in force.
 type Problem struct {
 	Path     string `json:"path"`
 	Revision int64  `json:"revision"`
@@ -296,7 +299,7 @@
 	Error    string `json:"error"`
 }
 
-// Problems lists the branches whose latest value is not in force, by path.
+// Problems lists the branches whose latest value is not completely in force, sorted by path.
 func (t *Tree) Problems() []Problem {
 	var out []Problem
 	for path, e := range t.entries {
@@ -336,11 +339,11 @@
 	return out
 }
 
-// ErrInvalidKey is returned for a bearer key that names no workspace or is wrong.
+// ErrInvalidKey is returned for a bearer key that has no workspace or is wrong.
 var ErrInvalidKey = errors.New("unknown bearer key: ask the owner of the workspace for one")
 
-// WorkspaceOfKey returns the path in a bearer key of the form
-// partner.workspace.secret, without checking the secret.
+// WorkspaceOfKey returns the workspace path in a bearer key of the form
+// partner.workspace.secret, without checking the secret. It fails with ErrInvalidKey.
 func WorkspaceOfKey(key string) (string, error) {
 	parts := strings.SplitN(key, ".", 3)
 	if len(parts) != 3 || parts[2] == "" {
@@ -353,7 +356,7 @@
 	return path, nil
 }
 
-// Authenticate returns the workspace of a bearer key.
+// Authenticate returns the workspace path of a bearer key, ErrInvalidKey if the key is wrong.
 func (t *Tree) Authenticate(key string) (string, error) {
 	path, err := WorkspaceOfKey(key)
 	if err != nil {
@@ -368,7 +371,7 @@
 	return "", ErrInvalidKey
 }
 
-// HashKey returns the hex SHA-256 of a bearer key, as branches hold it.
+// HashKey returns the hex SHA-256 of a bearer key, as in branches.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
