--- a/report/account/account.go
+++ b/report/account/account.go
@@ -1,7 +1,7 @@
-// Package account tells from the logs of entries what became of callers'
-// requests, by kind, by moment and by cause, so that an operator can say why a
-// bad hour was bad. It knows only what entries log: a caller who never reached
-// one is not in it.
+// Package account reports the outcomes of requests from the logs of entries,
+// by route, time and cause, so that an operator can explain a period of
+// failures. It sees only what entries log: requests that reached no entry are
+// missing.
 package account
 
 import (
@@ -16,62 +16,62 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Outcome is what became of a request, as its caller sees it.
+// Outcome is the result of a request as its caller sees it.
 type Outcome string
 
 const (
 	InTime Outcome = "in time"
-	// Late answers are whole, and their first bytes or a later event came after
-	// the route's goal.
+	// Late responses are complete, but the first bytes or a later event exceeded
+	// the latency goal of the route.
 	Late Outcome = "late"
-	// Failed requests may have run and have no answer, or a failure.
+	// Failed requests may have run and got no response or an error.
 	Failed Outcome = "failed"
-	// Refused requests have not run and may come back.
+	// Refused requests have not run and can be retried.
 	Refused Outcome = "refused"
-	// Denied requests are wrong or not allowed by the settings in force.
+	// Denied requests are invalid or not allowed by the settings in force.
 	Denied Outcome = "denied"
-	// Aborted answers were broken off after they had begun.
+	// Aborted responses ended early after they had started.
 	Aborted Outcome = "cut"
-	// CallerDisconnected requests are those whose caller left first.
+	// CallerDisconnected requests lost their caller before the response ended.
 	CallerDisconnected Outcome = "caller left"
 )
 
-// outcomes in the order of the report.
+// outcomes are in the order of the report's columns.
 var outcomes = []Outcome{InTime, Late, Failed, Refused, Aborted, CallerDisconnected, Denied}
 
-// Cause is why a request was not answered in time.
+// Cause is the reason why a request was not answered in time. Apart from these
+// constants, it is the reason that the entry logged for a failure.
 type Cause string
 
 const (
 	NoCause Cause = ""
-	// EngineBroken is an engine that ended the connection in mid-exchange.
+	// EngineBroken: the engine closed the connection during an attempt.
 	EngineBroken Cause = "engine broke off"
-	// EngineCrashed is an engine that ended while it had the request.
+	// EngineCrashed: the engine crashed while it ran the request.
 	EngineCrashed Cause = "engine ended"
-	// EngineFailed is an engine that answered with a failure of its own.
+	// EngineFailed: the engine responded with an error.
 	EngineFailed Cause = "engine's own failure"
-	// EngineUnresponsive is an engine that took no connection or fell silent.
+	// EngineUnresponsive: the engine accepted no connection or stopped sending.
 	EngineUnresponsive Cause = "engine dark"
-	// EngineFull is an engine that refused, after which others were asked.
+	// EngineFull: the engine refused the request, and others were tried.
 	EngineFull Cause = "engine full"
-	// PromptNotCached is a prompt that the engine had to read.
+	// PromptNotCached: the engine had to prefill the prompt.
 	PromptNotCached Cause = "cold prompt"
-	// PromptFetched is a prompt that the engine took from another.
+	// PromptFetched: the engine fetched the cached prompt from another engine.
 	PromptFetched Cause = "prompt moved"
-	// Contention is a request whose prompt the engine keeps: what held it up are
-	// the prompts and requests beside it.
+	// Contention: the engine had the prompt cached, so that the delay comes from
+	// other requests on the engine.
 	Contention Cause = "behind other requests"
-	// StreamPaused is a stream with too long a pause after it had begun.
-	StreamPaused Cause = "pause in the stream"
-	// DeadlineExceeded is a deadline that passed.
+	// StreamPaused: the stream paused for too long after it had started.
+	StreamPaused     Cause = "pause in the stream"
 	DeadlineExceeded Cause = "no time"
 )
 
-// request is what is known of one request from its lines.
+// request is one request as its log lines describe it.
 type request struct {
-	// at is when its final line was written.
-	at   time.Time
-	kind string
+	// endedAt is the time of the final line.
+	endedAt time.Time
+	route   string
 	Outcome
 	Cause
 }
@@ -79,55 +79,55 @@
 // Account collects the requests of all entries. It is not safe for concurrent
 // use.
 type Account struct {
-	// attempts has the cause of the latest failed attempt of a request whose
-	// final line has not come.
-	attempts map[string]Cause
-	// ended has the requests whose engine ended with the attempt that is told of next.
-	ended    map[string]bool
+	// attemptCauses has the cause of the latest failed attempt by request ID,
+	// until the final line of the request.
+	attemptCauses map[string]Cause
+	// crashed has the IDs of requests whose engine crashed during the attempt
+	// that is logged next.
+	crashed  map[string]bool
 	requests []request
-	// tables are the versions of the settings by which requests ran or that came
-	// into force.
+	// tables has the settings versions that requests used or that came into force.
 	tables map[int64]*tableUse
-	// suspects are the requests under which engines ended, by their digests.
+	// suspects has the requests during which engines crashed, by digest.
 	suspects map[string]*suspect
-	// repeats are by service.
-	repeats map[string]*repeats
-	// skipped counts lines that are no log lines.
+	// retries is by service.
+	retries map[string]*serviceRetries
+	// skipped counts lines that are not logfmt, and those of which a needed field
+	// is missing or invalid.
 	skipped int
 }
 
 // New returns an empty account.
 func New() *Account {
-	return &Account{attempts: map[string]Cause{}, ended: map[string]bool{}, tables: map[int64]*tableUse{}, suspects: map[string]*suspect{},
-		repeats: map[string]*repeats{}}
+	return &Account{attemptCauses: map[string]Cause{}, crashed: map[string]bool{}, tables: map[int64]*tableUse{}, suspects: map[string]*suspect{},
+		retries: map[string]*serviceRetries{}}
 }
 
-// longestLine bounds a log line, in bytes.
-const longestLine = 64 << 10
+const maxLineBytes = 64 << 10
 
-// ReadLog takes the log of one process. Lines that are not key=value are counted
-// and passed over.
+// ReadLog reads the log of one process. It counts and skips lines that are not
+// key=value. It fails if r does or if a line is too long.
 func (a *Account) ReadLog(r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, longestLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		fields, err := parse(s.Text())
+		fields, err := parseLine(s.Text())
 		if err != nil {
 			a.skipped++
 			continue
 		}
-		a.take(fields)
+		a.recordLine(fields)
 	}
 	if err := s.Err(); errors.Is(err, bufio.ErrTooLong) {
-		return fmt.Errorf("a line is longer than %d bytes: is this a log?", longestLine)
+		return fmt.Errorf("a line is longer than %d bytes; check that the file is a log", maxLineBytes)
 	} else if err != nil {
 		return err
 	}
 	return nil
 }
 
-// parse reads the fields of a line.
-func parse(line string) (map[string]string, error) {
+// parseLine returns the fields of a line by key.
+func parseLine(line string) (map[string]string, error) {
 	d := logfmt.NewDecoder(strings.NewReader(line))
 	fields := map[string]string{}
 	for d.ScanRecord() {
@@ -138,57 +138,58 @@
 	return fields, d.Err()
 }
 
-// take takes the fields of a line.
-func (a *Account) take(f map[string]string) {
+// recordLine handles a line by its event.
+func (a *Account) recordLine(f map[string]string) {
 	id := f["request"]
 	switch f["msg"] {
 	case "attempt_ended":
-		a.attempts[id] = causeOfAttempt(f["outcome"])
-		if a.ended[id] {
-			a.attempts[id] = EngineCrashed
-			delete(a.ended, id)
+		a.attemptCauses[id] = causeOfAttempt(f["outcome"])
+		if a.crashed[id] {
+			a.attemptCauses[id] = EngineCrashed
+			delete(a.crashed, id)
 		}
-		a.repeated(f)
+		a.recordRetry(f)
 	case "repeats":
-		a.budget(f)
+		a.recordBudget(f)
 	case "struck":
-		// The line of the attempt itself follows, unless its engine's end is known late.
+		// The line of the attempt follows, unless the crash was found later from
+		// the engine list.
 		if f["ground"] != "listed" {
-			a.ended[id] = true
+			a.crashed[id] = true
 		}
-		a.struck(f)
+		a.recordStrike(f)
 	case "held_back":
-		a.heldBack(f)
+		a.recordHeldBack(f)
 	case "answered", "failed":
-		a.finish(id, f)
+		a.finishRequest(id, f)
 	case "table_in_force":
-		a.inForce(f)
+		a.recordInForce(f)
 	}
 }
 
-func (a *Account) finish(id string, f map[string]string) {
-	before := a.attempts[id]
-	delete(a.attempts, id)
+func (a *Account) finishRequest(id string, f map[string]string) {
+	attemptCause := a.attemptCauses[id]
+	delete(a.attemptCauses, id)
 	at, err := time.Parse(time.RFC3339Nano, f["time"])
 	if err != nil || f["route"] == "" {
-		// Without a route it is nothing that a caller was owed.
+		// Without a route, the line is not about a request of a caller.
 		a.skipped++
 		return
 	}
-	a.sent(f, at)
-	r := request{at: at, kind: f["route"]}
+	a.recordSent(f, at)
+	r := request{endedAt: at, route: f["route"]}
 	r.Outcome = outcomeOf(f)
 	switch r.Outcome {
 	case Late:
-		r.Cause = causeOfLate(f, before)
+		r.Cause = causeOfLate(f, attemptCause)
 	case Failed, Refused, Aborted:
-		r.Cause = causeOfFailure(f, before)
+		r.Cause = causeOfFailure(f, attemptCause)
 	}
 	a.requests = append(a.requests, r)
-	a.ranBy(f, at)
+	a.recordVersion(f, at)
 }
 
-// outcomeOf judges a final line.
+// outcomeOf returns the outcome that a final line describes.
 func outcomeOf(f map[string]string) Outcome {
 	status, _ := strconv.Atoi(f["status"])
 	switch {
@@ -208,7 +209,7 @@
 	return InTime
 }
 
-// causeOfAttempt maps the outcome of an attempt.
+// causeOfAttempt maps the outcome of a failed attempt to its cause.
 func causeOfAttempt(outcome string) Cause {
 	switch outcome {
 	case "failed":
@@ -221,11 +222,12 @@
 	return EngineBroken
 }
 
-// causeOfLate tells what held an answer up.
-func causeOfLate(f map[string]string, before Cause) Cause {
+// causeOfLate returns the cause of a late response, given the cause of the last
+// failed attempt.
+func causeOfLate(f map[string]string, attemptCause Cause) Cause {
 	switch {
-	case before != NoCause:
-		return before
+	case attemptCause != NoCause:
+		return attemptCause
 	case f["late"] == "pause":
 		return StreamPaused
 	case f["fetched"] == "true":
@@ -236,14 +238,14 @@
 	return Contention
 }
 
-// causeOfFailure tells why there is no answer: what the last engine did, or
-// the entry's own reason.
-func causeOfFailure(f map[string]string, before Cause) Cause {
+// causeOfFailure returns the cause of a failed request: that of the last failed
+// attempt or the reason of the entry.
+func causeOfFailure(f map[string]string, attemptCause Cause) Cause {
 	switch reason := f["reason"]; {
 	case reason == "deadline":
 		return DeadlineExceeded
-	case before != NoCause:
-		return before
+	case attemptCause != NoCause:
+		return attemptCause
 	case reason != "":
 		return Cause(reason)
 	}
--- a/report/account/account_test.go
+++ b/report/account/account_test.go
@@ -10,7 +10,7 @@
 	"github.com/weldfall/weldfall/report/account"
 )
 
-// line returns a final line with the usual fields.
+// line returns a log line that was written at a second of a fixed minute.
 func line(at, rest string) string {
 	return "time=2026-01-01T00:00:" + at + "Z level=INFO " + rest + "\n"
 }
@@ -30,18 +30,18 @@
 	return b.String()
 }
 
-func TestEachLossHasItsCause(t *testing.T) {
+func TestLossesHaveCauses(t *testing.T) {
 	for name, tc := range map[string]struct{ logs, want string }{
 		"in time": {line("01.1", `msg=answered request=a route=r status=200 how=home kept=true late=""`), ""},
 		"failed by the engine": {
 			line("01.0", "msg=attempt_ended request=a outcome=failed") + line("01.1", "msg=answered request=a route=r status=500 late=\"\""),
 			"failed engine's own failure r",
 		},
-		"broken off in mid-answer": {
+		"connection broken during the response": {
 			line("01.0", "msg=attempt_ended request=a outcome=broken") + line("01.1", "msg=failed request=a route=r status=200 cut=true verdict=may_have_run reason=engine_failed"),
 			"cut engine broke off r",
 		},
-		"ended with the engine": {
+		"engine crashed": {
 			line("01.0", "msg=struck request=a asked=d1 engine=i-1 strikes=1") + line("01.0", "msg=attempt_ended request=a outcome=broken") +
 				line("01.1", "msg=failed request=a route=r status=502 verdict=may_have_run reason=engine_failed"),
 			"failed engine ended r",
@@ -50,21 +50,21 @@
 			line("01.0", "msg=held_back request=a asked=d1 strikes=3") + line("01.0", "msg=failed request=a route=r status=503 verdict=not_run reason=held_back"),
 			"refused held_back r",
 		},
-		"dark": {
+		"engine unresponsive": {
 			line("01.0", "msg=attempt_ended request=a outcome=silent") + line("01.1", "msg=answered request=a route=r status=200 late=first how=rank"),
 			"late engine dark r",
 		},
-		"cold":           {line("01.1", "msg=answered request=a route=r status=200 late=first how=home kept=false fetched=false"), "late cold prompt r"},
-		"moved":          {line("01.1", "msg=answered request=a route=r status=200 late=first how=home fetched=true"), "late prompt moved r"},
-		"behind others":  {line("01.1", "msg=answered request=a route=r status=200 late=first how=home kept=true fetched=false"), "late behind other requests r"},
-		"paused":         {line("01.1", "msg=answered request=a route=r status=200 late=pause how=home kept=true"), "late pause in the stream r"},
-		"refused":        {line("01.1", "msg=failed request=a route=r status=503 verdict=not_run reason=leaving"), "refused leaving r"},
-		"cut at a stop":  {line("01.1", "msg=failed request=a route=r status=200 cut=true verdict=may_have_run reason=leaving"), "cut leaving r"},
-		"told at a stop": {line("01.1", "msg=failed request=a route=r status=502 cut=false verdict=may_have_run reason=leaving"), "failed leaving r"},
-		"no time":        {line("01.1", "msg=failed request=a route=r status=504 verdict=may_have_run reason=deadline"), "failed no time r"},
-		"denied":         {line("01.1", "msg=failed request=a route=r status=401 verdict=not_run reason=unauthorized"), ""},
-		"caller left":    {line("01.1", "msg=failed request=a route=r status=0 cut=true verdict=may_have_run reason=caller_gone"), ""},
-		"of another kind": {
+		"prompt not cached":   {line("01.1", "msg=answered request=a route=r status=200 late=first how=home kept=false fetched=false"), "late cold prompt r"},
+		"prompt fetched":      {line("01.1", "msg=answered request=a route=r status=200 late=first how=home fetched=true"), "late prompt moved r"},
+		"contention":          {line("01.1", "msg=answered request=a route=r status=200 late=first how=home kept=true fetched=false"), "late behind other requests r"},
+		"paused":              {line("01.1", "msg=answered request=a route=r status=200 late=pause how=home kept=true"), "late pause in the stream r"},
+		"refused":             {line("01.1", "msg=failed request=a route=r status=503 verdict=not_run reason=leaving"), "refused leaving r"},
+		"aborted at shutdown": {line("01.1", "msg=failed request=a route=r status=200 cut=true verdict=may_have_run reason=leaving"), "cut leaving r"},
+		"failed at shutdown":  {line("01.1", "msg=failed request=a route=r status=502 cut=false verdict=may_have_run reason=leaving"), "failed leaving r"},
+		"deadline exceeded":   {line("01.1", "msg=failed request=a route=r status=504 verdict=may_have_run reason=deadline"), "failed no time r"},
+		"denied":              {line("01.1", "msg=failed request=a route=r status=401 verdict=not_run reason=unauthorized"), ""},
+		"caller disconnected": {line("01.1", "msg=failed request=a route=r status=0 cut=true verdict=may_have_run reason=caller_gone"), ""},
+		"failed attempt of another request": {
 			line("01.0", "msg=attempt_ended request=b outcome=failed") + line("01.1", "msg=answered request=a route=r status=200 late=first how=home kept=true"),
 			"late behind other requests r",
 		},
@@ -84,8 +84,9 @@
 	}
 }
 
-// Under one request several engines ended, under another that was there by chance one.
-func TestRequestsThatEndEnginesAreListed(t *testing.T) {
+// Two engines crash during d1. Only one crashes during d2, which just happened to
+// run beside d1.
+func TestRequestsThatCrashEnginesAreListed(t *testing.T) {
 	out := report(t,
 		line("01.0", "msg=struck instance=e1 request=a asked=d1 engine=i-1")+line("01.0", "msg=struck instance=e1 request=b asked=d2 engine=i-1")+
 			line("01.1", "msg=failed request=a route=r status=502 verdict=may_have_run reason=engine_failed"),
@@ -95,13 +96,13 @@
 		t.Errorf("got no %q in:\n%s", want, out)
 	}
 	if strings.Contains(out, "d2") {
-		t.Errorf("got a request under which one engine ended in:\n%s", out)
+		t.Errorf("got a request with a single engine crash in:\n%s", out)
 	}
 }
 
-// The end of an engine may be known after the lines of the request that broke off there. It
-// is no cause of what becomes of another attempt with the id.
-func TestAnEndThatIsKnownLateIsListedAndNoLaterCause(t *testing.T) {
+// A crash may be detected after the request that it broke has been logged. It must
+// not become the cause of a later attempt with the same request ID.
+func TestCrashDetectedLateIsNotCauseOfLaterAttempt(t *testing.T) {
 	late := func(at, engine string) string {
 		return line(at, "msg=struck instance=e1 request=a asked=d1 engine="+engine+" strikes=1 ground=listed late_ms=700")
 	}
@@ -118,7 +119,7 @@
 	}
 }
 
-func TestMomentsWithoutLossAreLeftOut(t *testing.T) {
+func TestIntervalsWithoutLossAreOmitted(t *testing.T) {
 	out := report(t,
 		line("01.1", "msg=answered request=a route=r status=200")+line("02.1", "msg=answered request=b route=r status=200 late=first how=home kept=true"),
 		line("02.9", "msg=failed request=c route=r status=503 verdict=not_run reason=not_ready")+"half a li",
@@ -129,16 +130,16 @@
 		}
 	}
 	if strings.Contains(out, "00:00:01.000") {
-		t.Errorf("got a moment without loss in:\n%s", out)
+		t.Errorf("got an interval without loss in:\n%s", out)
 	}
 }
 
-func TestLogsWithoutRequestsAreAnError(t *testing.T) {
+func TestLogsWithoutRequestsFail(t *testing.T) {
 	a := account.New()
 	if err := a.ReadLog(strings.NewReader("=\n")); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.WriteReport(&bytes.Buffer{}, time.Second); err == nil || !strings.Contains(err.Error(), "1 lines were passed over") {
+	if err := a.WriteReport(&bytes.Buffer{}, time.Second); err == nil || !strings.Contains(err.Error(), "1 lines were skipped") {
 		t.Errorf("got %v, want an error that says that no request was found", err)
 	}
 	if err := a.ReadLog(strings.NewReader(strings.Repeat("x", 100<<10))); err == nil || !strings.Contains(err.Error(), "longer than") {
@@ -146,8 +147,8 @@
 	}
 }
 
-// The report shows an entry that goes on serving by an old version.
-func TestTheVersionOfEachRequestIsTold(t *testing.T) {
+// The report must show an entry that keeps serving with an old settings version.
+func TestSettingsVersionsOfRequests(t *testing.T) {
 	ran := func(at, instance string, version int) string {
 		return line(at, fmt.Sprintf("msg=answered instance=%s request=a route=r status=200 table=%d", instance, version))
 	}
@@ -172,29 +173,30 @@
 	}
 }
 
-// The window of a service is told in which repeats came nearest to their bound, whose
-// requests may lie before it, and how many repeats no line of an attempt tells.
-func TestTheWindowNearestToTheBoundOfRepeatsIsTold(t *testing.T) {
+// The report must show the window in which the retries of a service came nearest to
+// their bound, also if the requests that set the bound came before the window. It
+// must also show that the budgets counted more retries than the logged attempts.
+func TestWorstRetryWindow(t *testing.T) {
 	var logs strings.Builder
 	ran := func(at string) {
 		logs.WriteString(line(at, "msg=answered instance=e1 request=a route=r service=s attempts=1 total_ms=100 status=200"))
 	}
-	again := func(at, repeat string) {
+	retry := func(at, repeat string) {
 		logs.WriteString(line(at, "msg=attempt_ended instance=e1 request=a service=s outcome=failed repeat="+repeat))
 	}
 	for i := range 20 {
 		ran(fmt.Sprintf("%02d.5", 1+i/2))
 	}
-	again("02.0", "spent")
+	retry("02.0", "spent")
 	for range 3 {
-		again("18.0", "spent")
-		again("18.0", "free")
-		again("18.0", "denied")
+		retry("18.0", "spent")
+		retry("18.0", "free")
+		retry("18.0", "denied")
 	}
 	budget := func(instance string, spent int) string {
 		return line("21.0", fmt.Sprintf("msg=repeats instance=%s service=s requests=20 spent=%d denied=3 least_left=0 ratio=0.1 extra=2 window_ms=10000", instance, spent))
 	}
-	// The first entry started again in between.
+	// e1 restarts between its two lines.
 	logs.WriteString(budget("e1", 3) + budget("e1", 2) + budget("e2", 1))
 	out := report(t, logs.String())
 	if want := "s        00:00:18.000               3        6         3        1.15  4               6"; !strings.Contains(out, want) {
@@ -202,10 +204,10 @@
 	}
 }
 
-func TestWithoutABoundNoRepeatsAreTold(t *testing.T) {
+func TestRetriesWithoutBudgetAreNotReported(t *testing.T) {
 	out := report(t, line("01.0", "msg=attempt_ended request=a service=s outcome=failed repeat=spent")+
 		line("01.1", "msg=answered request=a route=r service=s attempts=2 total_ms=100 status=200"))
 	if strings.Contains(out, "nearest to the bound") {
-		t.Errorf("got a table of repeats without a bound in:\n%s", out)
+		t.Errorf("got a retry table without a budget in:\n%s", out)
 	}
 }
--- a/report/account/repeats.go
+++ b/report/account/repeats.go
@@ -10,33 +10,34 @@
 	"time"
 )
 
-// repeats are the requests of a service and its attempts beyond the first of each.
-type repeats struct {
+// serviceRetries has the requests and retries of a service.
+type serviceRetries struct {
 	service string
-	// ratio and extra bound the repeats of a window at all entries.
+	// ratio and extra bound the retries of all entries in a window: ratio times
+	// the requests, plus extra.
 	ratio, extra float64
 	window       time.Duration
-	// requests has when each request was read, repeats when each was decided.
-	requests, repeats []time.Time
-	// counted has the latest totals of each process.
-	counted map[string]total
+	// requests has the arrival times, retries the times of the decisions to retry.
+	requests, retries []time.Time
+	spentByInstance   map[string]spentCount
 }
 
-// total is what a budget spent in the lives of a process: in those that are over, and in
-// the present one.
-type total struct{ before, spent int }
+// spentCount counts the retries that the budget of an instance allowed: in its
+// previous runs and in the current one. Each run counts from zero.
+type spentCount struct{ previous, current int }
 
-func (a *Account) repeatsOf(service string) *repeats {
-	r := a.repeats[service]
+func (a *Account) retriesOf(service string) *serviceRetries {
+	r := a.retries[service]
 	if r == nil {
-		r = &repeats{service: service, counted: map[string]total{}}
-		a.repeats[service] = r
+		r = &serviceRetries{service: service, spentByInstance: map[string]spentCount{}}
+		a.retries[service] = r
 	}
 	return r
 }
 
-// repeated takes the line of an attempt that another follows.
-func (a *Account) repeated(f map[string]string) {
+// recordRetry handles an attempt_ended line. Only retries that are charged to
+// the budget count.
+func (a *Account) recordRetry(f map[string]string) {
 	if f["repeat"] != "spent" || f["service"] == "" {
 		return
 	}
@@ -45,22 +46,23 @@
 		a.skipped++
 		return
 	}
-	r := a.repeatsOf(f["service"])
-	r.repeats = append(r.repeats, at)
+	r := a.retriesOf(f["service"])
+	r.retries = append(r.retries, at)
 }
 
-// sent takes the final line of a request that was sent.
-func (a *Account) sent(f map[string]string, at time.Time) {
-	took, err := strconv.Atoi(f["total_ms"])
+// recordSent handles the final line of a request. Requests without an attempt
+// do not count.
+func (a *Account) recordSent(f map[string]string, at time.Time) {
+	totalMS, err := strconv.Atoi(f["total_ms"])
 	if f["service"] == "" || f["attempts"] == "0" || err != nil {
 		return
 	}
-	r := a.repeatsOf(f["service"])
-	r.requests = append(r.requests, at.Add(-time.Duration(took)*time.Millisecond))
+	r := a.retriesOf(f["service"])
+	r.requests = append(r.requests, at.Add(-time.Duration(totalMS)*time.Millisecond))
 }
 
-// budget takes the line of a budget.
-func (a *Account) budget(f map[string]string) {
+// recordBudget handles a line with the retry budget of a service.
+func (a *Account) recordBudget(f map[string]string) {
 	ratio, err1 := strconv.ParseFloat(f["ratio"], 64)
 	extra, err2 := strconv.ParseFloat(f["extra"], 64)
 	window, err3 := strconv.Atoi(f["window_ms"])
@@ -69,73 +71,73 @@
 		a.skipped++
 		return
 	}
-	r := a.repeatsOf(f["service"])
+	r := a.retriesOf(f["service"])
 	r.ratio, r.extra, r.window = ratio, extra, time.Duration(window)*time.Millisecond
-	t := r.counted[f["instance"]]
-	if spent < t.spent {
-		t.before += t.spent
+	t := r.spentByInstance[f["instance"]]
+	if spent < t.current {
+		t.previous += t.current
 	}
-	t.spent = spent
-	r.counted[f["instance"]] = t
+	t.current = spent
+	r.spentByInstance[f["instance"]] = t
 }
 
-// spent returns how many repeats the budgets counted.
-func (r *repeats) spent() int {
+// totalSpent returns the retries that the budgets of all instances counted.
+func (r *serviceRetries) totalSpent() int {
 	n := 0
-	for _, t := range r.counted {
-		n += t.before + t.spent
+	for _, t := range r.spentByInstance {
+		n += t.previous + t.current
 	}
 	return n
 }
 
-// window is a window and what its bound allows.
+// window is an interval with the retries in it and its bound.
 type window struct {
-	from              time.Time
-	repeats, requests int
+	start             time.Time
+	retries, requests int
 	allowed           float64
 }
 
-// part returns the repeats as a part of those that are allowed.
-func (w window) part() float64 { return float64(w.repeats) / max(1, w.allowed) }
+// usage returns the share of the allowed retries that were made.
+func (w window) usage() float64 { return float64(w.retries) / max(1, w.allowed) }
 
-// worst returns the window that comes nearest to its bound. The requests that count are
-// those of the window, of the one before it or of the one half a window before it,
-// whichever are the most.
-func (r *repeats) worst() window {
+// worstWindow returns the window with the highest usage. Its bound follows from
+// the requests of the window itself, of the window before it, or of the one that
+// starts half a window earlier, whichever has the most.
+func (r *serviceRetries) worstWindow() window {
 	slices.SortFunc(r.requests, time.Time.Compare)
-	slices.SortFunc(r.repeats, time.Time.Compare)
+	slices.SortFunc(r.retries, time.Time.Compare)
 	var worst window
-	for _, from := range r.repeats {
-		w := window{from: from, repeats: within(r.repeats, from, r.window)}
-		for _, before := range []time.Duration{0, r.window / 2, r.window} {
-			w.requests = max(w.requests, within(r.requests, from.Add(-before), r.window))
+	for _, start := range r.retries {
+		w := window{start: start, retries: countWithin(r.retries, start, r.window)}
+		for _, offset := range []time.Duration{0, r.window / 2, r.window} {
+			w.requests = max(w.requests, countWithin(r.requests, start.Add(-offset), r.window))
 		}
 		w.allowed = r.ratio*float64(w.requests) + r.extra
-		if worst.from.IsZero() || w.part() > worst.part() {
+		if worst.start.IsZero() || w.usage() > worst.usage() {
 			worst = w
 		}
 	}
 	return worst
 }
 
-// within counts the sorted times of a window.
-func within(times []time.Time, from time.Time, length time.Duration) int {
-	first, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
-	end, _ := slices.BinarySearchFunc(times, from.Add(length), time.Time.Compare)
+// countWithin returns how many of the sorted times are in the interval.
+func countWithin(times []time.Time, start time.Time, length time.Duration) int {
+	first, _ := slices.BinarySearchFunc(times, start, time.Time.Compare)
+	end, _ := slices.BinarySearchFunc(times, start.Add(length), time.Time.Compare)
 	return end - first
 }
 
-// writeRepeats prints the window of each service in which repeats came nearest to what is
-// allowed. Where more were spent than the lines of attempts tell, lines were lost.
-func (a *Account) writeRepeats(w io.Writer) {
+// writeRetries prints the worst window of each service. If the budgets counted
+// more retries than the attempts show, log lines were lost.
+func (a *Account) writeRetries(w io.Writer) {
 	heading := "\nservice\tnearest to the bound from\trepeats\trequests\tallowed\tpart\trepeats in all\tspent in all\n"
-	for _, r := range slices.SortedFunc(maps.Values(a.repeats), func(x, y *repeats) int { return cmp.Compare(x.service, y.service) }) {
-		if r.window == 0 || len(r.repeats) == 0 {
+	for _, r := range slices.SortedFunc(maps.Values(a.retries), func(x, y *serviceRetries) int { return cmp.Compare(x.service, y.service) }) {
+		if r.window == 0 || len(r.retries) == 0 {
 			continue
 		}
-		worst := r.worst()
-		_, _ = fmt.Fprintf(w, "%s%s\t%s\t%d\t%d\t%.0f\t%.2f\t%d\t%d\n", heading, r.service, moment(worst.from),
-			worst.repeats, worst.requests, worst.allowed, worst.part(), len(r.repeats), r.spent())
+		worst := r.worstWindow()
+		_, _ = fmt.Fprintf(w, "%s%s\t%s\t%d\t%d\t%.0f\t%.2f\t%d\t%d\n", heading, r.service, formatTime(worst.start),
+			worst.retries, worst.requests, worst.allowed, worst.usage(), len(r.retries), r.totalSpent())
 		heading = ""
 	}
 }
--- a/report/account/suspects.go
+++ b/report/account/suspects.go
@@ -9,21 +9,24 @@
 	"time"
 )
 
-// suspect is a request under which engines ended, whatever ids its attempts had.
+// suspect is a request during which engines crashed. All requests with the same
+// digest count as one, whatever their IDs.
 type suspect struct {
-	asked string
-	// engines and entries are those of the attempts under which engines ended.
+	digest string
+	// engines and entries are those of the attempts that ended in a crash.
 	engines, entries map[string]bool
-	// heldBack counts the attempts that were not sent.
+	// heldBack counts the requests that were not sent.
 	heldBack    int
 	first, last time.Time
 }
 
-// leastEngines is how many engines must have ended under a request that is listed: one
-// takes all that it ran with it.
-const leastEngines = 2
+// minEngines is how many engines must have crashed during a request for it to be
+// listed. The crash of a single engine counts against every request that it ran.
+const minEngines = 2
 
-func (a *Account) suspect(f map[string]string) *suspect {
+// suspectOf returns the suspect that a line names, updated with its time. It
+// returns nil if the line has no valid time or digest.
+func (a *Account) suspectOf(f map[string]string) *suspect {
 	at, err := time.Parse(time.RFC3339Nano, f["time"])
 	if err != nil || f["asked"] == "" {
 		a.skipped++
@@ -31,8 +34,8 @@
 	}
 	s := a.suspects[f["asked"]]
 	if s == nil {
-		s = &suspect{asked: f["asked"], engines: map[string]bool{}, entries: map[string]bool{}, first: at, last: at}
-		a.suspects[s.asked] = s
+		s = &suspect{digest: f["asked"], engines: map[string]bool{}, entries: map[string]bool{}, first: at, last: at}
+		a.suspects[s.digest] = s
 	}
 	if at.Before(s.first) {
 		s.first = at
@@ -43,32 +46,33 @@
 	return s
 }
 
-// struck takes the line of an attempt under which an engine ended.
-func (a *Account) struck(f map[string]string) {
-	if s := a.suspect(f); s != nil {
+// recordStrike handles the line of an attempt during which an engine crashed.
+func (a *Account) recordStrike(f map[string]string) {
+	if s := a.suspectOf(f); s != nil {
 		s.engines[f["engine"]] = true
 		s.entries[f["instance"]] = true
 	}
 }
 
-// heldBack takes the line of an attempt that was not sent.
-func (a *Account) heldBack(f map[string]string) {
-	if s := a.suspect(f); s != nil {
+// recordHeldBack handles the line of a request that was not sent.
+func (a *Account) recordHeldBack(f map[string]string) {
+	if s := a.suspectOf(f); s != nil {
 		s.heldBack++
 	}
 }
 
-// writeSuspects prints the requests under which several engines ended, the most first.
+// writeSuspects prints the requests during which several engines crashed, those
+// with the most engines first.
 func (a *Account) writeSuspects(w io.Writer) {
-	listed := slices.DeleteFunc(slices.Collect(maps.Values(a.suspects)), func(s *suspect) bool { return len(s.engines) < leastEngines })
+	listed := slices.DeleteFunc(slices.Collect(maps.Values(a.suspects)), func(s *suspect) bool { return len(s.engines) < minEngines })
 	if len(listed) == 0 {
 		return
 	}
 	slices.SortFunc(listed, func(x, y *suspect) int {
-		return cmp.Or(cmp.Compare(len(y.engines), len(x.engines)), cmp.Compare(x.asked, y.asked))
+		return cmp.Or(cmp.Compare(len(y.engines), len(x.engines)), cmp.Compare(x.digest, y.digest))
 	})
 	_, _ = fmt.Fprintf(w, "\nasked\tengines ended\tby entries\theld back\tfirst\tlast\n")
 	for _, s := range listed {
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%s\n", s.asked, len(s.engines), len(s.entries), s.heldBack, moment(s.first), moment(s.last))
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\t%s\n", s.digest, len(s.engines), len(s.entries), s.heldBack, formatTime(s.first), formatTime(s.last))
 	}
 }
--- a/report/account/tables.go
+++ b/report/account/tables.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// tableUse is what is known of one version of the settings.
+// tableUse is the use of one settings version.
 type tableUse struct {
 	version int64
-	// entries counts the processes on which it came into force; first and last are
-	// when it did, zero if no line tells.
+	// entries counts the processes on which the version came into force, first and
+	// last are the earliest and latest time; zero if not logged.
 	entries     int
 	first, last time.Time
-	// requests counts those that ran by it; latest is when the last of them ended,
-	// on the entry lastEntry.
-	requests  int
-	latest    time.Time
-	lastEntry string
+	// requests counts the requests that used the version. The last of them ended
+	// at lastRequest on lastEntry.
+	requests    int
+	lastRequest time.Time
+	lastEntry   string
 }
 
-// table returns the use of the version that a line names, nil if it names none.
-func (a *Account) table(version string) *tableUse {
+// tableUse returns the use of a version, or nil if it is not a number.
+func (a *Account) tableUse(version string) *tableUse {
 	v, err := strconv.ParseInt(version, 10, 64)
 	if err != nil {
 		return nil
@@ -36,10 +36,10 @@
 	return a.tables[v]
 }
 
-// inForce takes the line of a version that came into force.
-func (a *Account) inForce(f map[string]string) {
+// recordInForce handles the line of a version that came into force.
+func (a *Account) recordInForce(f map[string]string) {
 	at, err := time.Parse(time.RFC3339Nano, f["time"])
-	u := a.table(f["version"])
+	u := a.tableUse(f["version"])
 	if err != nil || u == nil {
 		a.skipped++
 		return
@@ -53,21 +53,22 @@
 	}
 }
 
-// ranBy takes the final line of a request.
-func (a *Account) ranBy(f map[string]string, at time.Time) {
-	u := a.table(f["table"])
+// recordVersion handles the final line of a request.
+func (a *Account) recordVersion(f map[string]string, at time.Time) {
+	u := a.tableUse(f["table"])
 	if u == nil {
 		return
 	}
 	u.requests++
-	if at.After(u.latest) {
-		u.latest, u.lastEntry = at, f["instance"]
+	if at.After(u.lastRequest) {
+		u.lastRequest, u.lastEntry = at, f["instance"]
 	}
 }
 
-// writeTables prints which versions requests ran by. "after a newer" is how long
-// after a newer version first came into force anywhere a request still ended by this
-// one: what a change takes to reach all, and the length of a request.
+// writeTables prints the use of each version. The column "after a newer" is the
+// time from when any entry first used a newer version until the last request with
+// this one ended. It includes the propagation of the change and the duration of
+// the request.
 func (a *Account) writeTables(w io.Writer) {
 	if len(a.tables) == 0 {
 		return
@@ -76,15 +77,16 @@
 	_, _ = fmt.Fprintf(w, "\ntable\trequests\tentries\tfirst in force\tlast in force\tlast request\tat\tafter a newer\n")
 	for i, u := range uses {
 		after := ""
-		if newer := firstOf(uses[i+1:]); !newer.IsZero() && u.latest.After(newer) {
-			after = u.latest.Sub(newer).Round(time.Millisecond).String()
+		if newer := firstInForce(uses[i+1:]); !newer.IsZero() && u.lastRequest.After(newer) {
+			after = u.lastRequest.Sub(newer).Round(time.Millisecond).String()
 		}
-		_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\n", u.version, u.requests, u.entries, moment(u.first), moment(u.last), moment(u.latest), cmp.Or(u.lastEntry, "-"), cmp.Or(after, "-"))
+		_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\n", u.version, u.requests, u.entries, formatTime(u.first), formatTime(u.last), formatTime(u.lastRequest), cmp.Or(u.lastEntry, "-"), cmp.Or(after, "-"))
 	}
 }
 
-// firstOf returns when the first of these versions came into force.
-func firstOf(uses []*tableUse) time.Time {
+// firstInForce returns the earliest time at which any of these versions came into
+// force, or zero.
+func firstInForce(uses []*tableUse) time.Time {
 	var first time.Time
 	for _, u := range uses {
 		if !u.first.IsZero() && (first.IsZero() || u.first.Before(first)) {
@@ -94,8 +96,8 @@
 	return first
 }
 
-// moment writes a time of day, or a dash for none.
-func moment(t time.Time) string {
+// formatTime returns the time of day, or a dash for the zero time.
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
--- a/report/admin/admin.go
+++ b/report/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the read-only pages of a process. No page can change
-// anything: operators drive the system by their branch of the settings alone.
+// Package admin serves the read-only admin pages of a process. Operators change
+// the system only through their branch of the settings.
 package admin
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/weldfall/weldfall/report/burn"
 )
 
-// Process is what the pages show.
+// Process is the process that the pages describe.
 type Process interface {
 	Node() *fleet.Node
 	Ready() bool
 }
 
-// Burner is a process that measures service levels.
+// Burner is a process that measures burn rates. Its snapshot is served at /burn.
 type Burner interface{ Burn() burn.Snapshot }
 
-// Handler returns the pages of a process.
+// Handler returns the handler for the admin pages of a process.
 func Handler(p Process) http.Handler {
 	r := mux.NewRouter()
 	get := func(path string, f http.HandlerFunc) { r.HandleFunc(path, f).Methods(http.MethodGet, http.MethodHead) }
--- a/report/burn/burn.go
+++ b/report/burn/burn.go
@@ -1,7 +1,7 @@
-// Package burn measures how fast the error budgets of the service-level
-// objectives are spent. It counts events in windows of several lengths, as in
-// the multi-window burn rates of the SRE workbook (chapter 5); a rate of 1
-// spends the budget exactly. It is pure: the time is handed in.
+// Package burn measures the burn rates of the error budgets of service-level
+// objectives. It counts events in windows of several lengths, as for the
+// multiwindow alerts of the SRE workbook (chapter 5). A burn rate of 1 spends
+// the budget exactly. Callers pass the current time.
 package burn
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Objective is one of the promises that are measured.
+// Objective is a service-level objective.
 type Objective string
 
 const (
-	// Latency is met by a streamed answer whose first token and mean time
-	// between tokens are both within their limits.
+	// Latency is met by a streamed response if the time to the first token and
+	// the mean time between tokens are within their limits.
 	Latency Objective = "latency"
-	// Whole is met by an admitted request that is answered whole.
+	// Whole is met by an admitted request with a complete response.
 	Whole Objective = "whole"
 	// Served is met by a valid request that is not refused.
 	Served Objective = "served"
@@ -31,36 +31,37 @@
 // Objectives lists all objectives.
 var Objectives = []Objective{Latency, Whole, Served}
 
-// Windows are the lengths that are measured, in milliseconds, short to long.
+// Windows are the lengths of the windows in milliseconds, shortest first.
 var Windows = []clock.Millis{5 * 60_000, 60 * 60_000, 6 * 60 * 60_000}
 
-// buckets is the number of parts of a window; the oldest part is counted in
-// whole, so a window is up to one part too long.
-const buckets = 30
+// windowBuckets is the number of buckets of a window. The oldest bucket counts
+// in full, so that a window is too long by up to one bucket.
+const windowBuckets = 30
 
 // Event is one finished request.
 type Event struct {
 	// Path is partner/workspace/service.
 	Path string
-	// Served is false for a request that was refused.
+	// Served is false if the request was refused.
 	Served bool
-	// Whole is true for a request that was answered whole.
+	// Whole is true if the response was complete.
 	Whole bool
-	// Streamed is true for a streamed answer; LatencyMet when it met the latency
+	// Streamed is true for a streamed response, LatencyMet if it met the latency
 	// objective.
 	Streamed, LatencyMet bool
-	// FirstTokenMS and BetweenTokensMS are in milliseconds, zero if unknown.
+	// FirstTokenMS is the time to the first token, BetweenTokensMS the mean time
+	// between tokens, in milliseconds; zero if unknown.
 	FirstTokenMS, BetweenTokensMS float64
 }
 
-// Targets are the shares of good events that are promised, below 1.
+// Targets has the target of each objective: a share of good events below 1.
 type Targets struct {
 	Latency float64 `json:"latency"`
 	Whole   float64 `json:"whole"`
 	Served  float64 `json:"served"`
 }
 
-func (t Targets) of(o Objective) float64 {
+func (t Targets) target(o Objective) float64 {
 	switch o {
 	case Latency:
 		return t.Latency
@@ -71,7 +72,7 @@
 	}
 }
 
-// Count is good and bad events of one objective.
+// Count counts the good and bad events of an objective.
 type Count struct {
 	Good int64 `json:"good"`
 	Bad  int64 `json:"bad"`
@@ -82,7 +83,8 @@
 	c.Bad += o.Bad
 }
 
-// BurnRate is the burn rate: the share of bad events over the share allowed.
+// BurnRate returns the share of bad events divided by the share that target
+// allows. It is 0 without events or if target allows no bad events.
 func (c Count) BurnRate(target float64) float64 {
 	if c.Good+c.Bad == 0 || target >= 1 {
 		return 0
@@ -90,21 +92,22 @@
 	return float64(c.Bad) / float64(c.Good+c.Bad) / (1 - target)
 }
 
-// window is a ring of buckets; the bucket of a time is its index modulo the
-// number of buckets.
+// window is a ring of buckets. epoch has the number of the interval that each
+// bucket counts.
 type window struct {
 	length clock.Millis
-	epoch  [buckets + 1]int64
-	counts [buckets + 1][3]Count
+	epoch  [windowBuckets + 1]int64
+	counts [windowBuckets + 1][3]Count
 }
 
-func (w *window) index(now clock.Millis) (int64, int) {
-	epoch := int64(now / (w.length / buckets))
-	return epoch, int(epoch % (buckets + 1))
+// bucket returns the epoch of now and the index of its bucket.
+func (w *window) bucket(now clock.Millis) (int64, int) {
+	epoch := int64(now / (w.length / windowBuckets))
+	return epoch, int(epoch % (windowBuckets + 1))
 }
 
 func (w *window) add(o int, c Count, now clock.Millis) {
-	epoch, i := w.index(now)
+	epoch, i := w.bucket(now)
 	if w.epoch[i] != epoch {
 		w.epoch[i], w.counts[i] = epoch, [3]Count{}
 	}
@@ -112,18 +115,18 @@
 }
 
 func (w *window) sum(o int, now clock.Millis) Count {
-	epoch, _ := w.index(now)
+	epoch, _ := w.bucket(now)
 	var total Count
 	for i, e := range w.epoch {
-		if epoch-e <= buckets && epoch >= e {
+		if epoch-e <= windowBuckets && epoch >= e {
 			total.add(w.counts[i][o])
 		}
 	}
 	return total
 }
 
-// series is what is kept of one path.
-type series struct {
+// pathCounts has the counts of a path in each window.
+type pathCounts struct {
 	targets Targets
 	windows [3]*window
 }
@@ -131,79 +134,81 @@
 // Recorder counts the events of one process. It is not safe for concurrent
 // use.
 type Recorder struct {
-	byPath map[string]*series
-	// first and between are latencies in microseconds by partner/service.
-	first, between map[string]*hdrhistogram.Histogram
-	reuse          map[string]CacheReuse
+	byPath map[string]*pathCounts
+	// firstToken and betweenTokens have latencies in microseconds by
+	// partner/service.
+	firstToken, betweenTokens map[string]*hdrhistogram.Histogram
+	// reuse is by partner.
+	reuse map[string]CacheReuse
 }
 
-// Bounds of the histograms, in microseconds, and their precision: two
-// significant digits, so a percentile is within 1 part in 100.
+// Range and precision of the histograms. With two significant digits, a
+// percentile is within 1 part in 100.
 const (
-	histLow    = 1
-	histHigh   = 600_000_000
-	histDigits = 2
+	minLatencyUS      = 1
+	maxLatencyUS      = 600_000_000
+	significantDigits = 2
 )
 
-// PercentileError is the relative error of reported percentiles.
+// PercentileError is the largest relative error of reported percentiles.
 const PercentileError = 0.01
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{byPath: map[string]*series{}, first: map[string]*hdrhistogram.Histogram{}, between: map[string]*hdrhistogram.Histogram{}, reuse: map[string]CacheReuse{}}
+	return &Recorder{byPath: map[string]*pathCounts{}, firstToken: map[string]*hdrhistogram.Histogram{}, betweenTokens: map[string]*hdrhistogram.Histogram{}, reuse: map[string]CacheReuse{}}
 }
 
-// RecordEvent counts one event under the objectives in force for it.
+// RecordEvent counts an event. t has the targets in force for its path.
 func (r *Recorder) RecordEvent(ev Event, t Targets, now clock.Millis) {
 	s := r.byPath[ev.Path]
 	if s == nil {
-		s = &series{}
+		s = &pathCounts{}
 		for i, l := range Windows {
 			s.windows[i] = &window{length: l}
 		}
 		r.byPath[ev.Path] = s
 	}
 	s.targets = t
-	good := func(ok bool) Count {
+	countOf := func(ok bool) Count {
 		if ok {
 			return Count{Good: 1}
 		}
 		return Count{Bad: 1}
 	}
 	for _, w := range s.windows {
-		w.add(2, good(ev.Served), now)
+		w.add(2, countOf(ev.Served), now)
 		if ev.Served {
-			w.add(1, good(ev.Whole), now)
+			w.add(1, countOf(ev.Whole), now)
 		}
 		if ev.Streamed {
-			w.add(0, good(ev.LatencyMet), now)
+			w.add(0, countOf(ev.LatencyMet), now)
 		}
 	}
 	if ev.Streamed {
-		key := flowOf(ev.Path)
-		record(r.first, key, ev.FirstTokenMS)
+		key := flowName(ev.Path)
+		recordLatency(r.firstToken, key, ev.FirstTokenMS)
 		if ev.BetweenTokensMS > 0 {
-			record(r.between, key, ev.BetweenTokensMS)
+			recordLatency(r.betweenTokens, key, ev.BetweenTokensMS)
 		}
 	}
 }
 
-// flowOf names the histogram of a path: partner/service.
-func flowOf(path string) string {
+// flowName returns the partner/service of a path.
+func flowName(path string) string {
 	parts := strings.Split(path, "/")
 	return parts[0] + "/" + parts[len(parts)-1]
 }
 
-func record(m map[string]*hdrhistogram.Histogram, key string, ms float64) {
+func recordLatency(m map[string]*hdrhistogram.Histogram, key string, ms float64) {
 	h := m[key]
 	if h == nil {
-		h = hdrhistogram.New(histLow, histHigh, histDigits)
+		h = hdrhistogram.New(minLatencyUS, maxLatencyUS, significantDigits)
 		m[key] = h
 	}
-	_ = h.RecordValue(min(histHigh, max(histLow, int64(ms*1000))))
+	_ = h.RecordValue(min(maxLatencyUS, max(minLatencyUS, int64(ms*1000))))
 }
 
-// Row is the counts of one path, objective and window.
+// Row has the counts of a path, objective and window.
 type Row struct {
 	Path      string    `json:"path"`
 	Objective Objective `json:"objective"`
@@ -214,7 +219,7 @@
 	Burn float64 `json:"burn"`
 }
 
-// Percentiles are latencies in milliseconds of one partner/service.
+// Percentiles has the latency percentiles of a partner/service.
 type Percentiles struct {
 	Flow string  `json:"flow"`
 	What string  `json:"what"`
@@ -224,24 +229,24 @@
 	N    int64   `json:"n"`
 }
 
-// Snapshot is what one process has counted, in a form that can be merged.
+// Snapshot has the counts of one process in a form that Merge can add up.
 type Snapshot struct {
 	Rows []Row `json:"rows"`
-	// First and Between are encoded histograms by partner/service.
-	First   map[string][]byte `json:"first,omitempty"`
-	Between map[string][]byte `json:"between,omitempty"`
-	// Measures are the users' three measures.
-	Measures Measures `json:"measures"`
+	// First and Between are encoded histograms of the time to the first token and
+	// the time between tokens, by partner/service.
+	First    map[string][]byte `json:"first,omitempty"`
+	Between  map[string][]byte `json:"between,omitempty"`
+	Measures Measures          `json:"measures"`
 }
 
 // Snapshot returns the counts at now.
 func (r *Recorder) Snapshot(now clock.Millis) Snapshot {
-	s := Snapshot{First: encode(r.first), Between: encode(r.between), Measures: Measures{Reuse: maps.Clone(r.reuse)}}
-	for path, se := range r.byPath {
-		for wi, w := range se.windows {
+	s := Snapshot{First: encodeHistograms(r.firstToken), Between: encodeHistograms(r.betweenTokens), Measures: Measures{Reuse: maps.Clone(r.reuse)}}
+	for path, pc := range r.byPath {
+		for wi, w := range pc.windows {
 			for oi, o := range Objectives {
 				if c := w.sum(oi, now); c.Good+c.Bad > 0 {
-					t := se.targets.of(o)
+					t := pc.targets.target(o)
 					s.Rows = append(s.Rows, Row{path, o, t, Windows[wi], c, c.BurnRate(t)})
 				}
 			}
@@ -251,7 +256,7 @@
 	return s
 }
 
-func encode(m map[string]*hdrhistogram.Histogram) map[string][]byte {
+func encodeHistograms(m map[string]*hdrhistogram.Histogram) map[string][]byte {
 	out := map[string][]byte{}
 	for k, h := range m {
 		if b, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil {
--- a/report/burn/burn_test.go
+++ b/report/burn/burn_test.go
@@ -11,8 +11,9 @@
 
 var targets = burn.Targets{Latency: 0.95, Whole: 0.99, Served: 0.9}
 
-// observe counts n events, the first bad of them not whole.
-func observe(r *burn.Recorder, path string, n, bad int, now clock.Millis) {
+// recordEvents records n events. The first bad of them are incomplete, and the
+// first 2*bad miss the latency objective.
+func recordEvents(r *burn.Recorder, path string, n, bad int, now clock.Millis) {
 	for i := range n {
 		r.RecordEvent(burn.Event{Path: path, Served: true, Whole: i >= bad, Streamed: true, LatencyMet: i >= 2*bad, FirstTokenMS: float64(100 + i), BetweenTokensMS: 10}, targets, now)
 	}
@@ -29,9 +30,9 @@
 	return burn.Row{}
 }
 
-func TestBurnIsTheBadShareOverTheAllowedShare(t *testing.T) {
+func TestBurnRates(t *testing.T) {
 	r := burn.NewRecorder()
-	observe(r, "planning/ws0/chat", 1000, 20, 1000)
+	recordEvents(r, "planning/ws0/chat", 1000, 20, 1000)
 	rows := r.Snapshot(2000).Rows
 	for _, c := range []struct {
 		o    burn.Objective
@@ -45,9 +46,9 @@
 	}
 }
 
-func TestEventsLeaveTheShortWindowBeforeTheLong(t *testing.T) {
+func TestEventsExpireFromShortWindowFirst(t *testing.T) {
 	r := burn.NewRecorder()
-	observe(r, "p/w/chat", 10, 5, 0)
+	recordEvents(r, "p/w/chat", 10, 5, 0)
 	rows := r.Snapshot(10 * 60_000).Rows
 	for _, got := range rows {
 		if got.WindowMS == burn.Windows[0] {
@@ -62,12 +63,12 @@
 	}
 }
 
-func TestMergedCountsAreExactAndAlertsNeedTwoWindows(t *testing.T) {
+func TestMergeCountsAndAlerts(t *testing.T) {
 	var snaps []burn.Snapshot
 	for i := range 3 {
 		r := burn.NewRecorder()
-		observe(r, "planning/ws0/chat", 100, 20, clock.Millis(i))
-		observe(r, "planning/ws1/chat", 100, 0, 0)
+		recordEvents(r, "planning/ws0/chat", 100, 20, clock.Millis(i))
+		recordEvents(r, "planning/ws1/chat", 100, 0, 0)
 		snaps = append(snaps, r.Snapshot(1000))
 	}
 	rep, err := burn.Merge([]string{"a", "b", "c"}, snaps)
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestMergedPercentilesAreWithinTheStatedError(t *testing.T) {
+func TestMergePercentilesWithinError(t *testing.T) {
 	var snaps []burn.Snapshot
 	for i := range 4 {
 		r := burn.NewRecorder()
@@ -115,7 +116,7 @@
 	}
 }
 
-func TestTheThreeMeasuresAreMerged(t *testing.T) {
+func TestMergeMeasures(t *testing.T) {
 	var snaps []burn.Snapshot
 	for i := range 2 {
 		r := burn.NewRecorder()
@@ -142,9 +143,9 @@
 	}
 }
 
-func TestThePageNamesWhatBurns(t *testing.T) {
+func TestWriteHTMLShowsPathsAndAlerts(t *testing.T) {
 	r := burn.NewRecorder()
-	observe(r, "planning/ws0/chat", 100, 30, 0)
+	recordEvents(r, "planning/ws0/chat", 100, 30, 0)
 	rep, err := burn.Merge([]string{"http://a"}, []burn.Snapshot{r.Snapshot(0)})
 	if err != nil {
 		t.Fatal(err)
--- a/report/burn/html.go
+++ b/report/burn/html.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// bar is one bar of a plot, in units of the drawing.
+// bar is a bar of a plot, in SVG user units.
 type bar struct {
 	X, Y, W, H float64
 	Label      string
@@ -15,7 +15,7 @@
 	Class      string
 }
 
-// plot is a row of bars with a line at the rate that spends the budget.
+// plot is a bar chart with a line at a burn rate of 1.
 type plot struct {
 	Title  string
 	Width  float64
@@ -24,25 +24,26 @@
 	Bars   []bar
 }
 
-// Measures of the drawing.
+// Dimensions of a plot in SVG user units.
 const (
 	plotHeight = 150
 	barWidth   = 46
 	barGap     = 14
 	labelSpace = 64
-	// plotTop is the burn rate at the top of a plot, on a logarithmic scale
-	// from plotFloor.
-	plotTop   = 100
-	plotFloor = 0.01
+	// The logarithmic scale of burn rates ends at maxPlotRate and starts at
+	// minPlotRate.
+	maxPlotRate = 100
+	minPlotRate = 0.01
 )
 
-// heightOf maps a burn rate to the height of its bar.
-func heightOf(rate float64) float64 {
-	r := min(plotTop, max(plotFloor, rate))
-	return plotHeight * math.Log(r/plotFloor) / math.Log(plotTop/plotFloor)
+// barHeight returns the height of the bar for a burn rate.
+func barHeight(rate float64) float64 {
+	clamped := min(maxPlotRate, max(minPlotRate, rate))
+	return plotHeight * math.Log(clamped/minPlotRate) / math.Log(maxPlotRate/minPlotRate)
 }
 
-func classOf(rate float64) string {
+// barClass returns the CSS class of the bar for a burn rate.
+func barClass(rate float64) string {
 	switch {
 	case rate >= 14.4:
 		return "page"
@@ -53,21 +54,20 @@
 	}
 }
 
-// plots draws the burn of each partner and workspace in each window, one plot
-// for each objective and window.
-func plots(rep Report) []plot {
+// makePlots returns a plot for each objective and window that has rows.
+func makePlots(rep Report) []plot {
 	var out []plot
 	for _, o := range Objectives {
 		for _, w := range Windows {
-			p := plot{Title: fmt.Sprintf("%s, last %s", o, w.Duration()), Height: plotHeight + labelSpace, Line: plotHeight - heightOf(1)}
+			p := plot{Title: fmt.Sprintf("%s, last %s", o, w.Duration()), Height: plotHeight + labelSpace, Line: plotHeight - barHeight(1)}
 			for _, r := range rep.Rows {
 				if r.Objective != o || r.WindowMS != w {
 					continue
 				}
-				h := max(1, heightOf(r.Burn))
+				h := max(1, barHeight(r.Burn))
 				p.Bars = append(p.Bars, bar{
 					X: float64(len(p.Bars)) * (barWidth + barGap), Y: plotHeight - h, W: barWidth, H: h,
-					Label: r.Path, Value: fmt.Sprintf("%.2f", r.Burn), Class: classOf(r.Burn),
+					Label: r.Path, Value: fmt.Sprintf("%.2f", r.Burn), Class: barClass(r.Burn),
 				})
 			}
 			p.Width = float64(len(p.Bars))*(barWidth+barGap) + labelSpace
@@ -79,7 +79,7 @@
 	return out
 }
 
-var page = template.Must(template.New("burn").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("burn").Funcs(template.FuncMap{
 	"mid": func(b bar) float64 { return b.X + b.W/2 },
 	"up":  func(b bar) float64 { return b.Y - 4 },
 }).Parse(`<!doctype html>
@@ -115,11 +115,11 @@
 </body></html>
 `))
 
-// WriteHTML writes the report as one page that needs nothing else.
+// WriteHTML writes the report as a self-contained HTML page. It fails if w does.
 func WriteHTML(w io.Writer, rep Report) error {
-	err := page.Execute(w, map[string]any{"Report": rep, "Plots": plots(rep), "Error": PercentileError * 100})
+	err := pageTemplate.Execute(w, map[string]any{"Report": rep, "Plots": makePlots(rep), "Error": PercentileError * 100})
 	if err != nil {
-		return fmt.Errorf("burn page: %w", err)
+		return fmt.Errorf("write burn page: %w", err)
 	}
 	return nil
 }
--- a/report/burn/measures.go
+++ b/report/burn/measures.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// CacheReuse is what the chats of a partner that returned read and found cached.
+// CacheReuse counts the prompt tokens of returning chats.
 type CacheReuse struct {
-	// Prompt counts prompt tokens of returning turns, Cached those of them
-	// that an engine had cached.
+	// Prompt counts all prompt tokens of the turns, Cached those that an engine
+	// had cached.
 	Prompt int64 `json:"prompt"`
 	Cached int64 `json:"cached"`
 }
 
-// Measures are the users' three measures as one process sees them.
+// Measures has the cache reuse, load skew and control traffic of a process.
 type Measures struct {
 	// Reuse is by partner, since the process started.
 	Reuse map[string]CacheReuse `json:"reuse,omitempty"`
-	// Skew is the highest load of an engine over the mean of its pool, now.
+	// Skew is the current load of the most loaded engine divided by the mean load,
+	// by pool.
 	Skew map[string]float64 `json:"skew,omitempty"`
-	// Control is bytes a second by direction and kind, since the process
-	// started.
+	// Control is the rate of control traffic in bytes per second since the process
+	// started, by direction and kind.
 	Control map[string]float64 `json:"control,omitempty"`
 }
 
-// RecordTurn counts a returning chat turn of a partner.
+// RecordTurn counts the prompt tokens of a returning chat turn.
 func (r *Recorder) RecordTurn(partner string, prompt, cached int) {
 	t := r.reuse[partner]
 	t.Prompt += int64(prompt)
@@ -32,7 +33,7 @@
 	r.reuse[partner] = t
 }
 
-// MeasureRow is one line of the three measures in a report.
+// MeasureRow is the value of a measure in a report.
 type MeasureRow struct {
 	Measure string  `json:"measure"`
 	Of      string  `json:"of"`
@@ -40,9 +41,9 @@
 	Unit    string  `json:"unit"`
 }
 
-// measures merges those of several processes: tokens are added up, skew is
-// the worst that any sees, control traffic is each process's own.
-func measures(sources []string, snaps []Snapshot) []MeasureRow {
+// mergeMeasures merges the measures of several processes. It adds up tokens, takes
+// the highest skew, and lists the control traffic of each process.
+func mergeMeasures(sources []string, snaps []Snapshot) []MeasureRow {
 	reuse, skew := map[string]CacheReuse{}, map[string]float64{}
 	var control []MeasureRow
 	for i, s := range snaps {
--- a/report/burn/merge.go
+++ b/report/burn/merge.go
@@ -12,36 +12,35 @@
 	"github.com/weldfall/weldfall/settings"
 )
 
-// Report is the merged view of many processes. Counts are exact; percentiles
+// Report merges the snapshots of several processes. Counts are exact, percentiles
 // are within PercentileError.
 type Report struct {
 	Sources []string `json:"sources"`
-	// Rows has the paths and, above them, their workspaces and partners.
+	// Rows has the services and the sums of their workspaces and partners.
 	Rows        []Row         `json:"rows"`
 	Percentiles []Percentiles `json:"percentiles"`
 	Alerts      []Alert       `json:"alerts"`
-	// Measures are cache reuse, load skew and control traffic.
-	Measures []MeasureRow `json:"measures"`
+	Measures    []MeasureRow  `json:"measures"`
 }
 
-// Alert is a budget that is being spent too fast in two windows at once.
+// Alert is an error budget whose burn rate is too high in two windows at once.
 type Alert struct {
 	Path      string    `json:"path"`
 	Objective Objective `json:"objective"`
-	// Burn is the lower of the two windows' rates.
+	// Burn is the lower of the burn rates of the two windows.
 	Burn     float64 `json:"burn"`
 	Severity string  `json:"severity"`
 }
 
-// rule is a pair of windows and the rate that both must exceed; the rates are
-// those of the SRE workbook for a budget of 30 days.
-type rule struct {
+// alertRule raises an alert if the burn rates of both windows reach rate. The
+// rates are those that the SRE workbook gives for a budget of 30 days.
+type alertRule struct {
 	short, long clock.Millis
 	rate        float64
 	severity    string
 }
 
-var rules = []rule{
+var alertRules = []alertRule{
 	{Windows[0], Windows[1], 14.4, "page"},
 	{Windows[1], Windows[2], 6, "ticket"},
 }
@@ -52,7 +51,8 @@
 	window    clock.Millis
 }
 
-// Merge adds up the snapshots of several processes, named by sources.
+// Merge merges the snapshots of the processes in sources. It fails if a histogram
+// cannot be decoded.
 func Merge(sources []string, snaps []Snapshot) (Report, error) {
 	rows := map[rowKey]Row{}
 	for _, s := range snaps {
@@ -61,38 +61,38 @@
 				k := rowKey{path, r.Objective, r.WindowMS}
 				sum := rows[k]
 				sum.Path, sum.Objective, sum.WindowMS = path, r.Objective, r.WindowMS
-				// Above a path, the strictest target below it applies.
+				// A workspace or partner has the strictest target of its services.
 				sum.Target = max(sum.Target, r.Target)
 				sum.add(r.Count)
 				rows[k] = sum
 			}
 		}
 	}
-	rep := Report{Sources: sources, Measures: measures(sources, snaps)}
+	rep := Report{Sources: sources, Measures: mergeMeasures(sources, snaps)}
 	for k, r := range rows {
 		r.Burn = r.BurnRate(r.Target)
 		rows[k] = r
 		rep.Rows = append(rep.Rows, r)
 	}
 	sortRows(rep.Rows)
-	rep.Alerts = alerts(rows)
-	for _, part := range []struct {
+	rep.Alerts = findAlerts(rows)
+	for _, hist := range []struct {
 		what string
 		of   func(Snapshot) map[string][]byte
 	}{{"first_token", func(s Snapshot) map[string][]byte { return s.First }}, {"between_tokens", func(s Snapshot) map[string][]byte { return s.Between }}} {
-		ps, err := percentiles(part.what, snaps, part.of)
+		merged, err := mergePercentiles(hist.what, snaps, hist.of)
 		if err != nil {
 			return Report{}, err
 		}
-		rep.Percentiles = append(rep.Percentiles, ps...)
+		rep.Percentiles = append(rep.Percentiles, merged...)
 	}
 	return rep, nil
 }
 
-func alerts(rows map[rowKey]Row) []Alert {
+func findAlerts(rows map[rowKey]Row) []Alert {
 	var out []Alert
 	for k, short := range rows {
-		for _, ru := range rules {
+		for _, ru := range alertRules {
 			long, ok := rows[rowKey{k.path, k.objective, ru.long}]
 			if k.window != ru.short || !ok || short.Burn < ru.rate || long.Burn < ru.rate {
 				continue
@@ -106,16 +106,16 @@
 	return out
 }
 
-func percentiles(what string, snaps []Snapshot, of func(Snapshot) map[string][]byte) ([]Percentiles, error) {
+func mergePercentiles(what string, snaps []Snapshot, of func(Snapshot) map[string][]byte) ([]Percentiles, error) {
 	sums := map[string]*hdrhistogram.Histogram{}
 	for _, s := range snaps {
 		for flow, raw := range of(s) {
 			h, err := hdrhistogram.Decode(raw)
 			if err != nil {
-				return nil, fmt.Errorf("histogram %s of %s: %w", what, flow, err)
+				return nil, fmt.Errorf("decode histogram %s of %s: %w", what, flow, err)
 			}
 			if sums[flow] == nil {
-				sums[flow] = hdrhistogram.New(histLow, histHigh, histDigits)
+				sums[flow] = hdrhistogram.New(minLatencyUS, maxLatencyUS, significantDigits)
 			}
 			sums[flow].Merge(h)
 		}
