--- a/entry/admit.go
+++ b/entry/admit.go
@@ -12,23 +12,24 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// limiters holds the rate of each workspace that was active lately.
+// limiters holds the rate limiters of recently active workspaces.
 type limiters struct {
 	mu          sync.Mutex
 	byWorkspace *simplelru.LRU[string, *rate.Limiter]
 }
 
-// maxLimiters bounds the workspaces whose rates are remembered.
+// maxLimiters limits the number of workspaces with a rate limiter.
 const maxLimiters = 16384
 
 func newLimiters() *limiters {
-	// NewLRU fails only for sizes that are not positive.
+	// NewLRU fails only if the size is not positive.
 	lru, _ := simplelru.NewLRU[string, *rate.Limiter](maxLimiters, nil)
 	return &limiters{byWorkspace: lru}
 }
 
-// take charges tokens to a workspace, or returns when to come back.
-func (l *limiters) take(workspace string, perSecond float64, burst, tokens int) (wait clock.Millis, ok bool) {
+// allow takes tokens from the rate limiter of a workspace. If there are not enough, it returns
+// false and the time until there are.
+func (l *limiters) allow(workspace string, perSecond float64, burst, tokens int) (wait clock.Millis, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lim, known := l.byWorkspace.Get(workspace)
@@ -36,64 +37,64 @@
 		lim = rate.NewLimiter(rate.Limit(perSecond), burst)
 		l.byWorkspace.Add(workspace, lim)
 	}
-	// Changed limits leave what was taken as it is.
+	// A change of the limits does not reset the tokens that were taken.
 	lim.SetLimit(rate.Limit(perSecond))
 	lim.SetBurst(burst)
 	tokens = min(tokens, burst)
-	have := lim.Tokens()
-	if have >= float64(tokens) && lim.AllowN(clock.WallTime(), tokens) {
+	available := lim.Tokens()
+	if available >= float64(tokens) && lim.AllowN(clock.WallTime(), tokens) {
 		return 0, true
 	}
-	return max(1, clock.Millis(math.Ceil((float64(tokens)-have)/perSecond*1000))), false
+	return max(1, clock.Millis(math.Ceil((float64(tokens)-available)/perSecond*1000))), false
 }
 
-// admit charges the request to its workspace's rate.
+// admit enforces the rate limit of the workspace.
 func (e *Entry) admit(_ context.Context, c *call) *verdict.Error {
 	l := c.values.Limits
 	if l.TokensPerSecond == 0 {
 		return nil
 	}
-	wait, ok := e.limiters.take(c.workspacePath(), l.TokensPerSecond, l.BurstTokens, c.chat.Cost(len(c.body)))
+	wait, ok := e.limiters.allow(c.workspacePath(), l.TokensPerSecond, l.BurstTokens, c.chat.Cost(len(c.body)))
 	if ok {
 		return nil
 	}
-	return verdict.New(c.certain(), verdict.RateLimited, "the workspace is over limits.tokens_per_second").WithRetryAfter(wait)
+	return verdict.New(c.rejectVerdict(), verdict.RateLimited, "the workspace exceeds limits.tokens_per_second").WithRetryAfter(wait)
 }
 
-// certain is the verdict for a request that is refused before it was sent. A
-// key may have been used by an earlier attempt of the same request, so
-// nothing is certain until the witnesses have promised it.
-func (c *call) certain() verdict.Verdict {
-	if c.once != nil && c.once.Key != 0 && c.claimed == 0 {
+// rejectVerdict returns the verdict for a request that is rejected before it is sent. An earlier
+// attempt with the same idempotency key may have run, unless the witnesses have granted the key
+// to this attempt.
+func (c *call) rejectVerdict() verdict.Verdict {
+	if c.once != nil && c.once.Key != 0 && c.claimAttempt == 0 {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
 }
 
-// retryBudget bounds the retries that an entry adds to its callers' requests:
-// each first attempt earns a part of one.
+// retryBudget limits the retries that an entry adds to the load of its callers. Each request
+// deposits a fraction of a retry.
 type retryBudget struct {
-	mu     sync.Mutex
-	tokens float64
+	mu      sync.Mutex
+	retries float64
 }
 
-// retryReserve is the most retries that can be saved up.
-const retryReserve = 20
+// maxSavedRetries is the largest balance of a retryBudget.
+const maxSavedRetries = 20
 
-func newRetryBudget() *retryBudget { return &retryBudget{tokens: retryReserve} }
+func newRetryBudget() *retryBudget { return &retryBudget{retries: maxSavedRetries} }
 
-func (b *retryBudget) earn(ratio float64) {
+func (b *retryBudget) deposit(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(retryReserve, b.tokens+ratio)
+	b.retries = min(maxSavedRetries, b.retries+ratio)
 }
 
-func (b *retryBudget) spend() bool {
+func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.tokens < 1 {
+	if b.retries < 1 {
 		return false
 	}
-	b.tokens--
+	b.retries--
 	return true
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -12,20 +12,20 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// call is one caller's request on its way through the filters.
+// call is the state of a request while the filters process it.
 type call struct {
 	w http.ResponseWriter
 	r *http.Request
 
-	// id is the public name of the request.
+	// id is the request ID that callers and logs see.
 	id string
-	// startMicros and start are when the request arrived.
+	// startMicros and start are the arrival time.
 	startMicros int64
 	start       clock.Millis
 
 	// Set by identify.
 	partner, workspace, service string
-	// path is the service's place in the settings tree.
+	// path is the path of the service in the settings tree.
 	path string
 
 	// Set by read.
@@ -39,50 +39,49 @@
 	// Set by classify.
 	chatKey   uint64
 	returning bool
-	// named is true when the caller named the chat.
+	// named is set if the caller named the chat.
 	named bool
-	// once is nil for a request that may be run again.
+	// once is nil if the request may run more than once.
 	once *wire.Once
-	// claimed is the attempt number under which the key is promised.
-	claimed uint64
-	// witnesses are those that were asked for the promise.
+	// claimAttempt is the attempt number that the key is granted to, or 0.
+	claimAttempt uint64
+	// witnesses are the daemons that claims were sent to.
 	witnesses []once.Daemon
 
-	// guarded is the call as the guard knows it, nil until it is about to be sent.
-	guarded *quarantine.Request
+	// quarantineReq is created on first use by quarantineRequest.
+	quarantineReq *quarantine.Request
 
 	// Set by send and stream.
 	engine string
-	// mode is that of the offer which engine took.
+	// mode is the mode of the offer that the engine accepted.
 	mode wire.Mode
-	// offered is the engine that the latest offer went to.
-	offered string
-	// hint is the engine that served the chat last; hintIsOwn is true when
-	// this entry remembers it and does not have it from the caller.
+	// lastOffer is the engine that the latest offer was sent to.
+	lastOffer string
+	// hint is the engine that last served the chat. hintLocal is set if this entry recorded
+	// the hint itself and did not receive it from the caller.
 	hint      string
-	hintIsOwn bool
+	hintLocal bool
 	result    wire.Result
-	// headSent is true once the caller has got a status.
-	headSent bool
-	// cut is true when the answer had begun and failed: the connection must
-	// end without an end mark.
-	cut    bool
-	tokens int
-	// firstMicros and lastMicros are when the first and the latest piece of
-	// the answer went out, zero if none did.
-	firstMicros, lastMicros int64
-	attempts                int
-	err                     *verdict.Error
+	// headerSent is set once the response header has been written.
+	headerSent bool
+	// aborted is set if the request failed in the middle of the response. The response must
+	// then end without its end marker.
+	aborted bool
+	tokens  int
+	// firstWriteMicros and lastWriteMicros are the times of the first and the latest write of
+	// response data, or 0 if there was none.
+	firstWriteMicros, lastWriteMicros int64
+	attempts                          int
+	err                               *verdict.Error
 }
 
-// isChat reports whether the request is a chat turn rather than a call of a
-// plain service.
+// isChat reports whether the request is a chat turn and not a request to a plain service.
 func (c *call) isChat() bool { return c.service == chats.Service }
 
-// left returns the time to the deadline.
-func (c *call) left(now clock.Millis) clock.Millis {
+// timeLeft returns the time until the deadline.
+func (c *call) timeLeft(now clock.Millis) clock.Millis {
 	return c.start + c.values.Limits.Deadline() - now
 }
 
-// workspacePath is the workspace's place in the settings tree.
+// workspacePath returns the path of the workspace in the settings tree.
 func (c *call) workspacePath() string { return c.partner + "/" + c.workspace }
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -16,12 +16,12 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// claimTimeout bounds the question to one witness.
+// claimTimeout is the timeout of the claims to one group of witnesses.
 const claimTimeout clock.Millis = 1000
 
-// claim gets the promise of the key's witnesses that no other attempt runs.
-// The first ranked is asked before the rest, so that of two attempts at the
-// same time one wins.
+// claim claims the idempotency key of a request at its witnesses, which grant it to only one
+// attempt. The witness that ranks first is asked before the others, so that one of two
+// simultaneous attempts succeeds.
 func (e *Entry) claim(ctx context.Context, c *call) *verdict.Error {
 	if c.once == nil || c.once.Key == 0 {
 		return nil
@@ -29,37 +29,38 @@
 	if once.Expired(c.once.CreatedAt, c.once.Window, e.clk.Wall()) {
 		return verdict.New(verdict.MayHaveRun, verdict.UnknownHistory, "the key is older than once.window_ms")
 	}
-	witnesses, gone, cutOff := e.node.Witnesses(c.once.Key, c.once.Window)
-	if cutOff || len(witnesses) == 0 {
+	witnesses, replaced, isolated := e.node.Witnesses(c.once.Key, c.once.Window)
+	if isolated || len(witnesses) == 0 {
 		return claimError(c, once.Unknown{Need: once.Quorum(len(witnesses))}).WithRetryAfter(2000)
 	}
 	c.witnesses = witnesses
 	attempt := max(1, rand.Uint64())
 	msg := wire.Claim{Key: c.once.Key, Attempt: attempt, CreatedAt: c.once.CreatedAt, Window: c.once.Window}
 	if c.once.CreatedAt > 0 {
-		// A key that was born after they left cannot have been theirs.
-		gone = e.goneSince(c.once, gone)
+		// A witness that was replaced before the key was created cannot have granted it.
+		replaced = e.replacedSince(c.once, replaced)
 	}
-	tally := once.NewTally(len(witnesses), gone)
-	e.ask(ctx, witnesses[:1], msg, tally)
+	tally := once.NewTally(len(witnesses), replaced)
+	e.sendClaims(ctx, witnesses[:1], msg, tally)
 	if _, taken := tally.Outcome().(once.Taken); !taken {
-		e.ask(ctx, witnesses[1:], msg, tally)
+		e.sendClaims(ctx, witnesses[1:], msg, tally)
 	}
 	out := tally.Outcome()
 	metrics.GetOrCreateCounter(fmt.Sprintf(`weldfall_claims_total{outcome=%q}`, outcomeName(out))).Inc()
 	if _, ok := out.(once.Promised); ok {
-		c.claimed = attempt
+		c.claimAttempt = attempt
 		return nil
 	}
-	e.release(c, attempt)
+	e.releaseClaims(c, attempt)
 	return claimError(c, out)
 }
 
-// goneSince leaves out replacements from before a timed key was born.
-func (e *Entry) goneSince(o *wire.Once, gone int) int {
+// replacedSince returns the number of replaced witnesses without those that were replaced before
+// a key with a timestamp was created.
+func (e *Entry) replacedSince(o *wire.Once, replaced int) int {
 	age := e.clk.Wall() - o.CreatedAt + once.MaxClockSkew
 	_, since, _ := e.node.Witnesses(o.Key, min(o.Window, age))
-	return min(gone, since)
+	return min(replaced, since)
 }
 
 func outcomeName(o once.Outcome) string {
@@ -76,18 +77,18 @@
 func claimError(c *call, o once.Outcome) *verdict.Error {
 	switch o := o.(type) {
 	case once.Taken:
-		return verdict.New(verdict.MayHaveRun, verdict.Duplicate, "an earlier attempt has the %s", chats.HeaderIdempotencyKey)
+		return verdict.New(verdict.MayHaveRun, verdict.Duplicate, "an earlier attempt holds the %s", chats.HeaderIdempotencyKey)
 	case once.Unknown:
 		return verdict.New(verdict.MayHaveRun, verdict.UnknownHistory,
-			"%d of %d needed witnesses promised the %s, %d were replaced within once.window_ms: this attempt has not run, an earlier one may have",
+			"%d of %d required witnesses granted the %s, %d were replaced within once.window_ms: this attempt has not run, but an earlier one may have",
 			o.Granted, o.Need, chats.HeaderIdempotencyKey, o.Changed).WithRetryAfter(1000)
 	default:
-		return verdict.New(verdict.MayHaveRun, verdict.UnknownHistory, "the claim ended as %T", o)
+		return verdict.New(verdict.MayHaveRun, verdict.UnknownHistory, "unexpected outcome of the claim: %T", o)
 	}
 }
 
-// ask puts the question to witnesses side by side and counts the answers.
-func (e *Entry) ask(ctx context.Context, witnesses []once.Daemon, msg wire.Claim, tally *once.Tally) {
+// sendClaims sends a claim to all given witnesses in parallel and adds their grants to tally.
+func (e *Entry) sendClaims(ctx context.Context, witnesses []once.Daemon, msg wire.Claim, tally *once.Tally) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout.Duration())
 	defer cancel()
 	var wg sync.WaitGroup
@@ -110,8 +111,8 @@
 	wg.Wait()
 }
 
-// release takes the claims of an attempt back that has not run and will not.
-func (e *Entry) release(c *call, attempt uint64) {
+// releaseClaims withdraws the claims of an attempt that did not run and will not run.
+func (e *Entry) releaseClaims(c *call, attempt uint64) {
 	for _, w := range c.witnesses {
 		go func() {
 			if conn, err := e.links.Get(w.Addr, link.Control); err == nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process on the callers' side. It takes chats and
-// service calls by HTTP, finds the engine of each, and relays the whole
-// answer. filters.go lists the way of a request.
+// Package entry implements the process that callers connect to. It receives chat and service
+// requests by HTTP, chooses an engine for each, and relays the response. The steps of processing
+// a request are listed in filters.go.
 package entry
 
 import (
@@ -35,18 +35,17 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Bounds towards callers.
 const (
-	// maxHeader bounds the request header in bytes.
-	maxHeader = 64 << 10
-	// headerTimeout bounds the time in which a header must arrive.
+	// maxHeaderBytes limits the size of a request header.
+	maxHeaderBytes = 64 << 10
+	// headerTimeout is the longest time that a request header may take to arrive.
 	headerTimeout clock.Millis = 5000
-	// bodyTimeout bounds the time in which a body must arrive.
+	// bodyTimeout is the longest time that a request body may take to arrive.
 	bodyTimeout clock.Millis = 30_000
-	// idleTimeout is how long an idle connection is kept.
+	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout clock.Millis = 120_000
-	// maxHints bounds the chats whose latest engine is remembered, about 100
-	// bytes each; it saves a redirect and nothing depends on it.
+	// maxHints limits the number of chats whose latest engine is recorded, at about 100 bytes
+	// each. A recorded engine saves a redirect; correctness does not depend on it.
 	maxHints = 65536
 )
 
@@ -60,7 +59,7 @@
 	Log       *slog.Logger
 }
 
-// Entry is the process on the callers' side.
+// Entry is the process that callers connect to.
 type Entry struct {
 	cfg      Config
 	clk      *clock.Clock
@@ -76,8 +75,8 @@
 	seq      atomic.Int64
 	draining atomic.Bool
 	active   atomic.Int64
-	// tookAt is when a request was last taken.
-	tookAt atomic.Int64
+	// lastRequestAt is when the latest request arrived.
+	lastRequestAt atomic.Int64
 
 	mu    sync.Mutex
 	hints *simplelru.LRU[uint64, string]
@@ -85,29 +84,29 @@
 
 var _ link.Handler = (*Entry)(nil)
 
-// burnRecorder is a burn.Recorder for several goroutines.
+// burnRecorder is a burn.Recorder that is safe for concurrent use.
 type burnRecorder struct {
 	mu sync.Mutex
 	r  *burn.Recorder
 }
 
-// Observe counts one event.
+// Observe records one event.
 func (b *burnRecorder) Observe(ev burn.Event, t burn.Targets, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.r.Observe(ev, t, now)
 }
 
-// Turn counts a returning chat turn.
+// Turn records a turn of a returning chat.
 func (b *burnRecorder) Turn(partner string, prompt, cached int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.r.Turn(partner, prompt, cached)
 }
 
-// New returns an entry that is not yet running.
+// New returns an entry that is not running yet.
 func New(cfg Config) *Entry {
-	// NewLRU fails only for sizes that are not positive.
+	// NewLRU fails only if the size is not positive.
 	hints, _ := simplelru.NewLRU[uint64, string](maxHints, nil)
 	e := &Entry{
 		cfg: cfg, clk: cfg.Clock, log: cfg.Log, limiters: newLimiters(),
@@ -120,17 +119,17 @@
 	})
 	e.offers = offer.New(e.links, e.node)
 	e.guard = quarantine.NewGuard(cfg.Clock, cfg.Log)
-	e.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: suspects{e.guard}, Links: e.links, RandomPeers: e.node.RandomEntries, Log: cfg.Log})
+	e.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: suspectSource{e.guard}, Links: e.links, RandomPeers: e.node.RandomEntries, Log: cfg.Log})
 	return e
 }
 
-// Node returns the shared part of the process, for its pages.
+// Node returns the entry's node of the fleet, for status pages.
 func (e *Entry) Node() *fleet.Node { return e.node }
 
-// Ready reports whether the entry takes requests.
+// Ready reports whether the entry accepts requests.
 func (e *Entry) Ready() bool { return e.node.Ready() && !e.draining.Load() }
 
-// Burn returns what this entry has counted.
+// Burn returns the burn rate data of this entry.
 func (e *Entry) Burn() burn.Snapshot {
 	e.burn.mu.Lock()
 	s := e.burn.r.Snapshot(e.clk.Now())
@@ -143,7 +142,7 @@
 // Call implements link.Handler.
 func (e *Entry) Call(_ context.Context, _ *link.Conn, method string, params json.RawMessage) (any, error) {
 	if method == gossip.MethodCompare {
-		return e.gossip.HandleCompare(suspects{e.guard}, params)
+		return e.gossip.HandleCompare(suspectSource{e.guard}, params)
 	}
 	res, ok, err := e.node.Handle(method, params)
 	if !ok {
@@ -164,8 +163,8 @@
 // Frame implements link.Handler.
 func (e *Entry) Frame(f wire.Frame) { e.offers.HandleFrame(f) }
 
-// Run serves callers on ln and peers on peers until ctx is done; then it
-// finishes what is in flight, within the drain time.
+// Run serves callers on ln and peers on peers until ctx is done. Then it waits for requests in
+// flight, for at most the drain time, and returns.
 func (e *Entry) Run(ctx context.Context, ln, peers net.Listener) error {
 	nodeCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
@@ -173,7 +172,7 @@
 	defer cancel()
 	wg.Go(func() { e.node.Run(nodeCtx) })
 	wg.Go(func() { e.gossip.Run(nodeCtx) })
-	wg.Go(func() { e.gossip.Compare(nodeCtx, suspects{e.guard}, fleet.ExchangePeriod) })
+	wg.Go(func() { e.gossip.Compare(nodeCtx, suspectSource{e.guard}, fleet.ExchangePeriod) })
 	wg.Go(func() { clock.Every(nodeCtx, fleet.ExchangePeriod, e.guard.Sweep) })
 	wg.Go(func() {
 		if err := link.Serve(nodeCtx, peers, e.clk, e, 0); err != nil {
@@ -181,7 +180,7 @@
 		}
 	})
 	srv := callers.New(callers.Config{
-		Handler: e.handler(), MaxHeaderBytes: maxHeader, Clock: e.clk, Log: e.log,
+		Handler: e.handler(), MaxHeaderBytes: maxHeaderBytes, Clock: e.clk, Log: e.log,
 		Timeouts: func() (idle, head clock.Millis) { return idleTimeout, headerTimeout },
 	})
 	done := make(chan struct{})
@@ -198,36 +197,36 @@
 	return nil
 }
 
-// drain finishes what is in flight: ready turns false first, so that the
-// balancer sends no more.
+// drain waits for requests in flight. The entry first reports that it is not ready, so that the
+// load balancer sends no more requests.
 func (e *Entry) drain(srv *callers.Server) {
 	e.draining.Store(true)
 	e.log.Info("leaving", "cause", "stop", "active", e.active.Load())
 	e.node.AnnounceLeaving()
-	wait := e.node.Effective(settings.FleetPath).Leave.Drain()
+	drainTime := e.node.Effective(settings.FleetPath).Leave.Drain()
 	busy := func() bool { return e.active.Load() > 0 }
-	srv.Drain(e.clk.Now()+wait, busy, func() clock.Millis { return clock.Millis(e.tookAt.Load()) })
+	srv.Drain(e.clk.Now()+drainTime, busy, func() clock.Millis { return clock.Millis(e.lastRequestAt.Load()) })
 	level := slog.LevelInfo
-	cut := e.active.Load()
-	if cut > 0 {
+	unfinished := e.active.Load()
+	if unfinished > 0 {
 		level = slog.LevelWarn
 	}
-	e.log.Log(context.Background(), level, "drained", "cut_off", cut)
+	e.log.Log(context.Background(), level, "drained", "cut_off", unfinished)
 	srv.Close()
 }
 
 func (e *Entry) handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc(chats.Path, e.take(func(*http.Request) string { return chats.Service })).Methods(http.MethodPost)
+	r.HandleFunc(chats.Path, e.handle(func(*http.Request) string { return chats.Service })).Methods(http.MethodPost)
 	r.HandleFunc("/v1/models", e.models).Methods(http.MethodGet)
 	serviceOf := func(r *http.Request) string { return mux.Vars(r)["service"] }
-	r.PathPrefix("/services/{service}").HandlerFunc(e.take(serviceOf))
+	r.PathPrefix("/services/{service}").HandlerFunc(e.handle(serviceOf))
 	return r
 }
 
 func (e *Entry) newCall(w http.ResponseWriter, r *http.Request, service string) *call {
 	if e.draining.Load() {
-		// The next request of this caller is for another entry.
+		// Makes the caller send its next request to another entry.
 		w.Header().Set("Connection", "close")
 	}
 	return &call{
@@ -236,15 +235,15 @@
 	}
 }
 
-// take returns the handler that sends requests of a service on their way.
-func (e *Entry) take(service func(*http.Request) string) http.HandlerFunc {
+// handle returns the HTTP handler for requests to a service, whose name it gets from service.
+func (e *Entry) handle(service func(*http.Request) string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.active.Add(1)
 		defer e.active.Add(-1)
 		c := e.newCall(w, r, service(r))
-		e.tookAt.Store(int64(c.start))
+		e.lastRequestAt.Store(int64(c.start))
 		if !e.node.Ready() && !e.draining.Load() {
-			e.respond(c, "ready", verdict.New(unserved(r), verdict.NotReady, "this entry does not yet know the settings").WithRetryAfter(1000))
+			e.respond(c, "ready", verdict.New(unhandledVerdict(r), verdict.NotReady, "this entry has not loaded the settings yet").WithRetryAfter(1000))
 			e.account(c)
 			return
 		}
@@ -252,7 +251,7 @@
 		defer cancel(nil)
 		defer callers.OnDisconnect(ctx, cancel)()
 		e.serve(ctx, c)
-		if c.cut {
+		if c.aborted {
 			callers.Abort(w, r)
 		}
 		if c.err == nil {
@@ -261,9 +260,9 @@
 	}
 }
 
-// unserved is the verdict for a request that no filter has seen. One with a
-// key may repeat another that has run.
-func unserved(r *http.Request) verdict.Verdict {
+// unhandledVerdict returns the verdict for a request that is rejected before any filter. With an
+// idempotency key it may be a retry of a request that has run.
+func unhandledVerdict(r *http.Request) verdict.Verdict {
 	if r.Header.Get(chats.HeaderIdempotencyKey) != "" {
 		return verdict.MayHaveRun
 	}
@@ -282,11 +281,11 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the models that the caller's workspace may use.
+// models responds with the models that the caller's workspace may use.
 func (e *Entry) models(w http.ResponseWriter, r *http.Request) {
 	c := e.newCall(w, r, chats.Service)
-	way := filter.List[*call]{{Name: "identify", Run: e.identify}, {Name: "resolve", Run: e.resolve}}
-	if name, err := way.Run(r.Context(), c); err != nil {
+	filters := filter.List[*call]{{Name: "identify", Run: e.identify}, {Name: "resolve", Run: e.resolve}}
+	if name, err := filters.Run(r.Context(), c); err != nil {
 		e.respond(c, name, err)
 		return
 	}
--- a/entry/export_test.go
+++ b/entry/export_test.go
@@ -8,26 +8,26 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Failure returns what a caller gets for a failure; once is true for a request that
-// may run once only.
-func Failure(err *verdict.Error, once bool) *http.Response {
+// Failure returns the response to a request that failed with err. atMostOnce is set for a request
+// that must not run more than once.
+func Failure(err *verdict.Error, atMostOnce bool) *http.Response {
 	w := httptest.NewRecorder()
 	c := &call{w: w, r: httptest.NewRequest(http.MethodPost, "/v1/chat/completions", nil), id: "id-1"}
-	if once {
+	if atMostOnce {
 		c.once = &wire.Once{}
 	}
 	(&Entry{}).respond(c, "send", err)
 	return w.Result()
 }
 
-// Limiters hold the rates of workspaces.
+// Limiters exports limiters.
 type Limiters struct{ l *limiters }
 
-// NewLimiters returns limiters that know of no workspace.
+// NewLimiters returns limiters without workspaces.
 func NewLimiters() Limiters { return Limiters{newLimiters()} }
 
-// Take reports whether a workspace may have so many tokens by its limits.
-func (l Limiters) Take(workspace string, perSecond float64, burst, tokens int) bool {
-	_, ok := l.l.take(workspace, perSecond, burst, tokens)
+// Allow reports whether the rate limit of a workspace allows the given number of tokens.
+func (l Limiters) Allow(workspace string, perSecond float64, burst, tokens int) bool {
+	_, ok := l.l.allow(workspace, perSecond, burst, tokens)
 	return ok
 }
--- a/entry/failures_test.go
+++ b/entry/failures_test.go
@@ -9,9 +9,10 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// What a caller gets for a failure is a promise: statuses, headers and body.
-func TestEachFailureIsToldAsBefore(t *testing.T) {
-	for file, once := range map[string]bool{"testdata/failures.txt": false, "testdata/failures-once.txt": true} {
-		failuretest.Check(t, file, func(err *verdict.Error) *http.Response { return entry.Failure(err, once) })
+// Checks that the responses to failures do not change, since callers rely on their status codes,
+// headers and bodies.
+func TestFailureResponses(t *testing.T) {
+	for file, atMostOnce := range map[string]bool{"testdata/failures.txt": false, "testdata/failures-once.txt": true} {
+		failuretest.Check(t, file, func(err *verdict.Error) *http.Response { return entry.Failure(err, atMostOnce) })
 	}
 }
--- a/entry/filters.go
+++ b/entry/filters.go
@@ -6,20 +6,20 @@
 	"github.com/weldfall/weldfall/callers/filter"
 )
 
-// filters is the way of every request, in order.
+// filters returns the filters that every request passes through, in order.
 func (e *Entry) filters() filter.List[*call] {
 	return filter.List[*call]{
-		{Name: "identify", Run: e.identify}, // whose request it is
-		{Name: "resolve", Run: e.resolve},   // the settings in force for it
-		{Name: "read", Run: e.read},         // the body, within its bound
-		{Name: "classify", Run: e.classify}, // chat, pool, and whether it may be repeated
-		{Name: "admit", Run: e.admit},       // the workspace's rate
-		{Name: "claim", Run: e.claim},       // the promise that no other attempt runs
-		{Name: "send", Run: e.send},         // choose an engine, send, stream the answer
+		{Name: "identify", Run: e.identify}, // authenticates the workspace
+		{Name: "resolve", Run: e.resolve},   // looks up the settings
+		{Name: "read", Run: e.read},         // reads the body, up to its size limit
+		{Name: "classify", Run: e.classify}, // finds chat and pool, and whether the request is repeatable
+		{Name: "admit", Run: e.admit},       // enforces the rate limit
+		{Name: "claim", Run: e.claim},       // claims the idempotency key
+		{Name: "send", Run: e.send},         // chooses an engine, sends the request and streams the response
 	}
 }
 
-// serve takes a call through the filters, answers it and accounts for it.
+// serve processes a request, and reports and records its outcome.
 func (e *Entry) serve(ctx context.Context, c *call) {
 	if name, err := e.filters().Run(ctx, c); err != nil {
 		e.respond(c, name, err)
--- a/entry/identify.go
+++ b/entry/identify.go
@@ -16,7 +16,7 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// identify finds the workspace by the bearer key; a wrong key goes no further.
+// identify finds the workspace that the bearer key belongs to. It fails if there is none.
 func (e *Entry) identify(ctx context.Context, c *call) *verdict.Error {
 	key, failure := chats.BearerKey(c.r.Header)
 	if failure != nil {
@@ -29,18 +29,18 @@
 	c.partner, c.workspace, _ = strings.Cut(path, "/")
 	c.path = path + "/" + c.service
 	if settings.CheckPath(c.path) != nil {
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "service %q: not a valid name", c.service)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "service %q: invalid service name", c.service)
 	}
 	return nil
 }
 
-// resolve takes the settings in force.
+// resolve looks up the effective settings.
 func (e *Entry) resolve(_ context.Context, c *call) *verdict.Error {
 	c.values = e.node.Effective(c.path)
 	return nil
 }
 
-// read takes the body, within the workspace's bound.
+// read reads the body, up to the size limit of the workspace.
 func (e *Entry) read(_ context.Context, c *call) *verdict.Error {
 	limit := int64(c.values.Limits.BodyBytes)
 	rc := http.NewResponseController(c.w)
@@ -52,7 +52,7 @@
 		if errors.As(err, &tooLarge) {
 			return verdict.New(verdict.NotRun, verdict.TooLarge, "the body exceeds limits.body_bytes, %d", limit)
 		}
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "the body did not arrive whole: %w", err)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "the body is incomplete: %w", err)
 	}
 	c.body = body
 	if !c.isChat() {
@@ -63,20 +63,20 @@
 	return failure
 }
 
-// classify finds the pool and the chat, and whether the request may run again.
+// classify determines the pool and the chat, and whether the request may run more than once.
 func (e *Entry) classify(_ context.Context, c *call) *verdict.Error {
 	c.pool = c.values.Routing.Pool
 	if c.isChat() {
 		c.pool = c.values.Models[c.chat.Model()]
 		if c.pool == "" {
-			return verdict.New(verdict.NotRun, verdict.UnknownModel, "model %q: not known here; GET /v1/models lists those that are", c.chat.Model())
+			return verdict.New(verdict.NotRun, verdict.UnknownModel, "unknown model %q: GET /v1/models lists the available models", c.chat.Model())
 		}
 		c.chatKey, c.returning = c.chat.ChatKey(c.workspacePath(), c.r.Header)
 		c.named = c.chat.Named(c.r.Header)
-		c.hint, c.hintIsOwn = e.hintOf(c)
+		c.hint, c.hintLocal = e.engineHint(c)
 	}
 	if c.pool == "" {
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "service %q: no routing.pool in the settings of %s", c.service, c.path)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "service %q: routing.pool is not set for %s", c.service, c.path)
 	}
 	return classifyOnce(c, e)
 }
@@ -97,21 +97,21 @@
 	c.once.Key, c.once.CreatedAt = once.KeyHash(c.workspacePath(), key), once.KeyTime(key)
 	switch {
 	case c.once.CreatedAt == 0 && c.values.Once.TimedKeysOnly:
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the settings ask for a UUID of version 7", chats.HeaderIdempotencyKey)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the settings require a version 7 UUID", chats.HeaderIdempotencyKey)
 	case c.once.CreatedAt > e.clk.Wall()+once.MaxClockSkew:
-		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the time in the key is in the future", chats.HeaderIdempotencyKey)
+		return verdict.New(verdict.NotRun, verdict.BadRequest, "%s: the timestamp in the key is in the future", chats.HeaderIdempotencyKey)
 	}
 	return nil
 }
 
-// hintOf returns the engine that last served the chat: as this entry
-// remembers, else as the caller echoes it. A forged or stale hint costs one
-// refused offer at most.
-func (e *Entry) hintOf(c *call) (hint string, own bool) {
+// engineHint returns the engine that last served the chat, from this entry's own record if there
+// is one, else from the caller's header. local tells which. A forged or outdated hint costs at
+// most one refused offer.
+func (e *Entry) engineHint(c *call) (hint string, local bool) {
 	e.mu.Lock()
-	hint, own = e.hints.Get(c.chatKey)
+	hint, local = e.hints.Get(c.chatKey)
 	e.mu.Unlock()
-	if own {
+	if local {
 		return hint, true
 	}
 	return c.r.Header.Get(chats.HeaderHint), false
--- a/entry/send.go
+++ b/entry/send.go
@@ -17,12 +17,12 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// send offers the request to engines until one takes it, and streams the
-// answer. Another engine is tried only after a refusal that is certain.
+// send offers the request to engines until one accepts it, and streams the response to the
+// caller. It tries another engine only if the previous one certainly did not run the request.
 func (e *Entry) send(ctx context.Context, c *call) *verdict.Error {
-	ctx, cancel := context.WithTimeout(ctx, c.left(e.clk.Now()).Duration())
+	ctx, cancel := context.WithTimeout(ctx, c.timeLeft(e.clk.Now()).Duration())
 	defer cancel()
-	e.budget.earn(c.values.Retry.BudgetRatio)
+	e.budget.deposit(c.values.Retry.BudgetRatio)
 	q := route.Query{
 		Key: c.chatKey, Affine: c.chatKey != 0, Returning: c.returning, Named: c.named, Hint: c.hint,
 		Bound: c.values.Routing.LoadBound, Floor: c.values.Routing.LoadFloor, Max: c.values.Retry.Attempts,
@@ -30,55 +30,55 @@
 	if q.Key == 0 {
 		q.Key = rand.Uint64()
 	}
-	alone, err := e.admitSuspect(ctx, c, &q)
+	trial, err := e.admitSuspect(ctx, c, &q)
 	if err != nil {
-		return e.failed(c, err)
+		return e.fail(c, err)
 	}
-	defer e.guard.EndTrial(c.suspect())
+	defer e.guard.EndTrial(c.quarantineRequest())
 	var tries []route.Try
-	var last *verdict.Error
+	var lastRefusal *verdict.Error
 	for {
 		d, to, mean := e.node.Choose(c.pool, q, tries)
 		s, ok := d.(route.Send)
 		if !ok {
-			return e.shed(c, d.(route.Shed), last)
+			return e.rejectUnplaced(c, d.(route.Shed), lastRefusal)
 		}
 		c.attempts++
-		c.offered = s.Engine
-		if alone {
-			e.guard.StartTrial(c.suspect(), 0, s.Engine)
+		c.lastOffer = s.Engine
+		if trial {
+			e.guard.StartTrial(c.quarantineRequest(), 0, s.Engine)
 		}
-		o, res := e.offers.Do(ctx, offer.Daemon{ID: to.ID, Addr: to.Addr}, e.runOf(c, s, mean), answer{c, e.clk})
+		o, res := e.offers.Do(ctx, offer.Daemon{ID: to.ID, Addr: to.Addr}, e.newRun(c, s, mean), responseWriter{c, e.clk})
 		e.node.RequestEnded(s.Engine)
 		if !res.Refused {
-			e.learnEnd(c, o, res)
+			e.recordAttempt(c, o, res)
 		}
 		if _, ok := o.(attempt.Answered); ok {
 			e.node.SampleLoads(res.Loads)
 			c.engine, c.mode, c.result = s.Engine, s.Mode, res
-			e.afterAnswer(c, s.Engine, homeKnows(c, s.Engine, tries))
+			e.recordPlacement(c, s.Engine, homeInformed(c, s.Engine, tries))
 			return nil
 		}
-		refusal, final := e.refusal(s, o, res)
+		refusal, final := e.failedAttempt(s, o, res)
 		if final != nil {
-			return e.failed(c, final)
+			return e.fail(c, final)
 		}
 		metrics.GetOrCreateCounter(fmt.Sprintf(`weldfall_refused_offers_total{reason=%q}`, refusal.Reason())).Inc()
-		last = refusal
+		lastRefusal = refusal
 		tries = append(tries, route.Try{
 			Engine: s.Engine, Mode: s.Mode, Redirect: res.Redirect,
-			NotCached: last.Reason() == verdict.NotCached, Cached: res.Cached, OverBound: last.Reason() == verdict.OverBound,
+			NotCached: lastRefusal.Reason() == verdict.NotCached, Cached: res.Cached, OverBound: lastRefusal.Reason() == verdict.OverBound,
 		})
-		if isFault(last.Reason()) && !e.budget.spend() {
+		if usesRetryBudget(lastRefusal.Reason()) && !e.budget.withdraw() {
 			metrics.GetOrCreateCounter("weldfall_retry_budget_spent_total").Inc()
-			return e.failed(c, verdict.New(verdict.NotRun, last.Reason(), "%s; the retry budget is spent", last.Message()).WithRetryAfter(1000))
+			return e.fail(c, verdict.New(verdict.NotRun, lastRefusal.Reason(), "%s; the retry budget is exhausted", lastRefusal.Message()).WithRetryAfter(1000))
 		}
 	}
 }
 
-// refusal takes an attempt that brought no answer: it returns the refusal after which
-// another engine may be asked, or else the final failure.
-func (e *Entry) refusal(s route.Send, o attempt.Outcome, res wire.Result) (refusal, final *verdict.Error) {
+// failedAttempt classifies an attempt without a response. It returns a refusal if another engine
+// may be tried, else the error with which the request fails.
+func (e *Entry) failedAttempt(s route.Send, o attempt.Outcome, res wire.Result) (refusal, final *verdict.Error) {
 	switch o := o.(type) {
 	case attempt.Unsent:
 		return verdict.From(o.Err), nil
@@ -91,50 +91,51 @@
 	case attempt.CallerGone:
 		return nil, verdict.From(o.Err)
 	}
-	// Daemons tell the failures of engines as results, so nothing else comes.
-	return nil, verdict.New(verdict.MayHaveRun, verdict.EngineFailed, "engine %s: %T", s.Engine, o)
+	// Daemons report failures of engines as results, so there are no other outcomes.
+	return nil, verdict.New(verdict.MayHaveRun, verdict.EngineFailed, "engine %s: unexpected outcome %T", s.Engine, o)
 }
 
-// answer passes what comes back of a call on to its caller.
-type answer struct {
+// responseWriter writes the response of an engine to the caller.
+type responseWriter struct {
 	c   *call
 	clk *clock.Clock
 }
 
 // WriteFrames implements offer.ResponseWriter.
-func (a answer) WriteFrames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
+func (w responseWriter) WriteFrames(frames []wire.Frame) error { return w.c.writeFrames(frames, w.clk) }
 
 // Started implements offer.ResponseWriter.
-func (a answer) Started() bool { return a.c.headSent }
+func (w responseWriter) Started() bool { return w.c.headerSent }
 
-// isFault tells refusals that retries could multiply from the ordinary steps
-// of finding the right engine.
-func isFault(r verdict.Reason) bool {
+// usesRetryBudget reports whether a retry after the refusal counts against the retry budget.
+// Refusals that are part of the search for the right engine do not, since they cannot multiply
+// the load.
+func usesRetryBudget(r verdict.Reason) bool {
 	return r != verdict.NotCached && r != verdict.OverBound
 }
 
-// shed is the final answer when no engine is left to offer the request to.
-func (e *Entry) shed(c *call, s route.Shed, last *verdict.Error) *verdict.Error {
+// rejectUnplaced returns the error for a request when no engine is left to offer it to.
+func (e *Entry) rejectUnplaced(c *call, s route.Shed, lastRefusal *verdict.Error) *verdict.Error {
 	if s.Empty {
-		return e.failed(c, verdict.New(verdict.NotRun, verdict.NoEngine, "pool %q has no live engine", c.pool).WithRetryAfter(2000))
+		return e.fail(c, verdict.New(verdict.NotRun, verdict.NoEngine, "pool %q has no live engine", c.pool).WithRetryAfter(2000))
 	}
-	if last == nil {
-		last = verdict.New(verdict.NotRun, verdict.Overloaded, "no engine takes the request")
+	if lastRefusal == nil {
+		lastRefusal = verdict.New(verdict.NotRun, verdict.Overloaded, "no engine accepts the request")
 	}
-	wait := max(last.RetryAfter(), 500)
-	return e.failed(c, verdict.New(verdict.NotRun, verdict.Overloaded, "no engine takes the request: %s", last.Message()).WithRetryAfter(wait))
+	wait := max(lastRefusal.RetryAfter(), 500)
+	return e.fail(c, verdict.New(verdict.NotRun, verdict.Overloaded, "no engine accepts the request: %s", lastRefusal.Message()).WithRetryAfter(wait))
 }
 
-// failed gives the claim of a request back that certainly has not run.
-func (e *Entry) failed(c *call, err *verdict.Error) *verdict.Error {
-	if err.Verdict() == verdict.NotRun && c.claimed != 0 {
-		e.release(c, c.claimed)
+// fail returns err and releases the claims of a request that certainly did not run.
+func (e *Entry) fail(c *call, err *verdict.Error) *verdict.Error {
+	if err.Verdict() == verdict.NotRun && c.claimAttempt != 0 {
+		e.releaseClaims(c, c.claimAttempt)
 	}
 	return err
 }
 
-// runOf builds the message that offers the request.
-func (e *Entry) runOf(c *call, s route.Send, mean float64) wire.Run {
+// newRun returns the message that offers the request to an engine.
+func (e *Entry) newRun(c *call, s route.Send, mean float64) wire.Run {
 	v := c.values
 	return wire.Run{
 		Request: c.id, Engine: s.Engine, Mode: s.Mode,
@@ -143,36 +144,36 @@
 		Chat:   c.chatKey,
 		Method: c.r.Method, Path: targetPath(c), Header: targetHeader(c.r), Body: c.body,
 		Stream: c.chat.WantsStream(), WantUsage: c.chat.WantsUsage(),
-		Cost: c.chat.Cost(len(c.body)), Remaining: c.left(e.clk.Now()), Once: c.once,
+		Cost: c.chat.Cost(len(c.body)), Remaining: c.timeLeft(e.clk.Now()), Once: c.once,
 		MeanLoad: mean, LoadBound: v.Routing.LoadBound, LoadFloor: v.Routing.LoadFloor, QueueLimit: v.Limits.QueuePerEngine, Loads: e.node.FreshestLoads(),
 	}
 }
 
-// homeKnows reports whether the home of a chat has been told that it is at
-// engine: by this entry after an earlier turn, or it was the home that said so.
-func homeKnows(c *call, engine string, tries []route.Try) bool {
-	return c.hintIsOwn && c.hint == engine || slices.ContainsFunc(tries, func(t route.Try) bool { return t.Redirect == engine })
+// homeInformed reports whether the home engine of a chat knows that the chat is at engine: this
+// entry informed it after an earlier turn, or it redirected the request there itself.
+func homeInformed(c *call, engine string, tries []route.Try) bool {
+	return c.hintLocal && c.hint == engine || slices.ContainsFunc(tries, func(t route.Try) bool { return t.Redirect == engine })
 }
 
-// afterAnswer remembers where the chat is now, and tells its home if that is
-// elsewhere and news.
-func (e *Entry) afterAnswer(c *call, engine string, known bool) {
+// recordPlacement records which engine serves the chat. If that is not the home engine of the
+// chat, it informs the home engine, unless homeInformed is set.
+func (e *Entry) recordPlacement(c *call, engine string, homeInformed bool) {
 	if c.chatKey == 0 {
 		return
 	}
 	e.mu.Lock()
 	e.hints.Add(c.chatKey, engine)
 	e.mu.Unlock()
-	home, at, ok := e.node.HomeEngine(c.pool, c.chatKey)
+	home, homeDaemon, ok := e.node.HomeEngine(c.pool, c.chatKey)
 	if !ok || home == engine {
 		return
 	}
 	metrics.GetOrCreateCounter("weldfall_spilled_total").Inc()
-	if known {
+	if homeInformed {
 		return
 	}
 	go func() {
-		if conn, err := e.links.Get(at.Addr, link.Control); err == nil {
+		if conn, err := e.links.Get(homeDaemon.Addr, link.Control); err == nil {
 			_ = conn.Notify(wire.MethodPlaced, wire.Placed{Home: home, Chat: c.chatKey, Engine: engine})
 		}
 	}()
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -12,10 +12,10 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// writeTimeout bounds one write to a slow caller.
+// writeTimeout is the timeout of one write to a caller.
 const writeTimeout clock.Millis = 15_000
 
-// targetPath is the path of the request at the target.
+// targetPath returns the path of the request at the target.
 func targetPath(c *call) string {
 	if c.isChat() {
 		return chats.Path
@@ -23,12 +23,12 @@
 	return "/" + strings.TrimPrefix(strings.TrimPrefix(c.r.URL.RequestURI(), "/services/"+c.service), "/")
 }
 
-// passedHeaders go from the caller to the target.
-var passedHeaders = []string{"Content-Type", "Accept", "Accept-Language", chats.HeaderIdempotencyKey}
+// forwardedHeaders are the request headers that are forwarded to the target.
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", chats.HeaderIdempotencyKey}
 
 func targetHeader(r *http.Request) map[string]string {
 	out := map[string]string{}
-	for _, name := range passedHeaders {
+	for _, name := range forwardedHeaders {
 		if v := r.Header.Get(name); v != "" {
 			out[name] = v
 		}
@@ -36,16 +36,16 @@
 	return out
 }
 
-// write sends frames on to the caller. The head goes with the first.
-func (c *call) write(frames []wire.Frame, clk *clock.Clock) error {
+// writeFrames writes frames to the caller. It writes the response header before the first data.
+func (c *call) writeFrames(frames []wire.Frame, clk *clock.Clock) error {
 	if len(frames) == 0 {
 		return nil
 	}
 	rc := http.NewResponseController(c.w)
 	_ = rc.SetWriteDeadline(clock.Deadline(writeTimeout))
 	for _, f := range frames {
-		if f.Head != nil && !c.headSent {
-			c.sendHead(f.Head)
+		if f.Head != nil && !c.headerSent {
+			c.writeHeader(f.Head)
 		}
 		if len(f.Data) == 0 {
 			continue
@@ -53,16 +53,16 @@
 		if _, err := c.w.Write(f.Data); err != nil {
 			return err
 		}
-		c.lastMicros = clk.Micros()
-		if c.firstMicros == 0 {
-			c.firstMicros = c.lastMicros
+		c.lastWriteMicros = clk.Micros()
+		if c.firstWriteMicros == 0 {
+			c.firstWriteMicros = c.lastWriteMicros
 		}
 		c.tokens += max(1, f.Count)
 	}
 	return rc.Flush()
 }
 
-func (c *call) sendHead(h *wire.Head) {
+func (c *call) writeHeader(h *wire.Head) {
 	header := c.w.Header()
 	for k, v := range h.Header {
 		header.Set(k, v)
@@ -72,15 +72,15 @@
 	}
 	header.Set(chats.HeaderRequestID, c.id)
 	if c.chatKey != 0 {
-		header.Set(chats.HeaderHint, c.offered)
+		header.Set(chats.HeaderHint, c.lastOffer)
 	}
 	c.w.WriteHeader(h.Status)
-	c.headSent = true
+	c.headerSent = true
 }
 
-// finishStream writes the end mark of a whole stream.
+// finishStream writes the end marker of a complete stream.
 func (c *call) finishStream() {
-	if !c.chat.WantsStream() || !c.headSent {
+	if !c.chat.WantsStream() || !c.headerSent {
 		return
 	}
 	if strings.HasPrefix(c.w.Header().Get("Content-Type"), "text/event-stream") {
@@ -89,33 +89,33 @@
 	}
 }
 
-// tellNotEncoded logs a failure whose body could not be written.
-func (e *Entry) tellNotEncoded(c *call, err error) {
+// logEncodingError logs err if the body of a failure could not be encoded.
+func (e *Entry) logEncodingError(c *call, err error) {
 	if err != nil {
 		e.log.Error("problem_not_encoded", "request", c.id, "error", err)
 	}
 }
 
-// respond tells the caller how the request failed, at once. An answer that
-// has begun is cut so that no client can take it for whole.
+// respond reports a failure to the caller. A response that has started is aborted, so that the
+// caller cannot take it for complete.
 func (e *Entry) respond(c *call, stage string, cause error) {
 	err := verdict.From(cause)
 	c.err = err
 	f := failure.Failure{RequestID: c.id, Filter: stage, Err: err, AtMostOnce: c.once != nil}
-	if c.headSent {
+	if c.headerSent {
 		if c.chat.WantsStream() {
-			text, perr := chats.FailureFormat.Encode(f)
-			e.tellNotEncoded(c, perr)
-			_, _ = c.w.Write([]byte("data: " + string(text) + "\n\n"))
+			body, encodeErr := chats.FailureFormat.Encode(f)
+			e.logEncodingError(c, encodeErr)
+			_, _ = c.w.Write([]byte("data: " + string(body) + "\n\n"))
 			_ = http.NewResponseController(c.w).Flush()
 		}
-		// The server closes the connection without an end mark.
-		c.cut = true
+		// The server closes the connection without an end marker.
+		c.aborted = true
 		return
 	}
-	status, text, perr := chats.FailureFormat.Prepare(c.w.Header(), f)
-	e.tellNotEncoded(c, perr)
+	status, body, encodeErr := chats.FailureFormat.Prepare(c.w.Header(), f)
+	e.logEncodingError(c, encodeErr)
 	c.w.WriteHeader(status)
-	c.headSent = true
-	_, _ = c.w.Write(text)
+	c.headerSent = true
+	_, _ = c.w.Write(body)
 }
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -12,43 +12,44 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// suspects is what this entry knows of requests that end engines, as others ask for it.
-type suspects struct{ *quarantine.Guard }
+// suspectSource gives peers access to what this entry knows of requests that crash engines.
+type suspectSource struct{ *quarantine.Guard }
 
-var _ gossip.Summarizer = suspects{}
+var _ gossip.Summarizer = suspectSource{}
 
-// ReceiveSuspects implements gossip.Source. Only daemons see their engines end, so no end
-// that others tell of is confirmed here.
-func (s suspects) ReceiveSuspects(from, packed string) {
+// ReceiveSuspects implements gossip.Source. Only daemons observe their engines, so an entry
+// cannot confirm crashes that others report.
+func (s suspectSource) ReceiveSuspects(from, packed string) {
 	s.Receive(from, packed, func(uint32) bool { return false })
 }
 
-// suspect returns the call as the guard knows it.
-func (c *call) suspect() *quarantine.Request {
-	if c.guarded == nil {
-		c.guarded = quarantine.NewRequest(c.id, quarantine.RequestKey{Workspace: c.workspacePath(), Method: c.r.Method, URI: c.r.URL.RequestURI()}, c.body)
+// quarantineRequest returns the request as the guard identifies it.
+func (c *call) quarantineRequest() *quarantine.Request {
+	if c.quarantineReq == nil {
+		c.quarantineReq = quarantine.NewRequest(c.id, quarantine.RequestKey{Workspace: c.workspacePath(), Method: c.r.Method, URI: c.r.URL.RequestURI()}, c.body)
 	}
-	return c.guarded
+	return c.quarantineReq
 }
 
-// admitSuspect refuses a request that is held back, and makes the query of one that must
-// be sent alone that of a request without a home: it goes to the least loaded engine.
-func (e *Entry) admitSuspect(ctx context.Context, c *call, q *route.Query) (alone bool, err *verdict.Error) {
+// admitSuspect returns an error if the request is held back. If it must be sent as a trial,
+// admitSuspect returns true and removes the affinity from the query, so that the request goes to
+// the least loaded engine.
+func (e *Entry) admitSuspect(ctx context.Context, c *call, q *route.Query) (trial bool, err *verdict.Error) {
 	v := verdict.NotRun
-	alone, err = e.guard.Admit(ctx, c.suspect(), v, e.contact())
-	if err != nil || !alone {
+	trial, err = e.guard.Admit(ctx, c.quarantineRequest(), v, e.connectivity())
+	if err != nil || !trial {
 		return false, err
 	}
 	if usable, listed := e.node.PoolSize(c.pool); usable <= 1 && listed > 1 {
-		e.guard.EndTrial(c.suspect())
-		return false, verdict.New(v, verdict.HeldBack, "engines ended while they ran this request, and none of pool %q can be spared to try it", c.pool).WithRetryAfter(quarantine.TrialRetryAfter)
+		e.guard.EndTrial(c.quarantineRequest())
+		return false, verdict.New(v, verdict.HeldBack, "engines crashed while they ran this request, and no engine of pool %q can be spared to try it", c.pool).WithRetryAfter(quarantine.TrialRetryAfter)
 	}
 	q.Affine, q.Returning, q.Hint = false, false, ""
 	return true, nil
 }
 
-// contact returns how this entry stands with others.
-func (e *Entry) contact() quarantine.Connectivity {
+// connectivity returns whether this entry can communicate with other entries.
+func (e *Entry) connectivity() quarantine.Connectivity {
 	switch {
 	case len(e.node.RandomEntries(1)) == 0:
 		return quarantine.Standalone
@@ -58,13 +59,13 @@
 	return quarantine.Connected
 }
 
-// learnEnd records what the end of an attempt tells of the request.
-func (e *Entry) learnEnd(c *call, o attempt.Outcome, res wire.Result) {
+// recordAttempt records in the guard whether an attempt crashed its engine or succeeded.
+func (e *Entry) recordAttempt(c *call, o attempt.Outcome, res wire.Result) {
 	if res.EndedIncarnation != 0 {
-		e.guard.RecordCrash(c.suspect(), res.EndedIncarnation, c.offered)
+		e.guard.RecordCrash(c.quarantineRequest(), res.EndedIncarnation, c.lastOffer)
 	}
 	if a, ok := o.(attempt.Answered); ok && a.End == framing.Complete {
-		e.guard.RecordSuccess(c.suspect())
+		e.guard.RecordSuccess(c.quarantineRequest())
 	}
-	e.guard.EndTrial(c.suspect())
+	e.guard.EndTrial(c.quarantineRequest())
 }
