--- a/entry/entry.go
+++ b/entry/entry.go
@@ -94,14 +94,14 @@
 func (b *burnRecorder) Observe(ev burn.Event, t burn.Targets, now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.r.Observe(ev, t, now)
+	b.r.RecordEvent(ev, t, now)
 }
 
 // Turn records a turn of a returning chat.
 func (b *burnRecorder) Turn(partner string, prompt, cached int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.r.Turn(partner, prompt, cached)
+	b.r.RecordTurn(partner, prompt, cached)
 }
 
 // New returns an entry that is not running yet.
