--- a/commands/account.go
+++ b/commands/account.go
@@ -10,13 +10,13 @@
 )
 
 type accountCmd struct {
-	Step  time.Duration `arg:"--step" default:"1s" help:"length of the moments by which losses are told"`
+	Step  time.Duration `arg:"--step" default:"1s" help:"length of the intervals by which losses are reported"`
 	Files []string      `arg:"positional,required" help:"logs of the processes"`
 }
 
 func (c *accountCmd) run(out, _ io.Writer) error {
 	if c.Step <= 0 {
-		return usagef("--step %s: give a length of time above zero, such as 1s", c.Step)
+		return usagef("--step %s: must be a positive duration, such as 1s", c.Step)
 	}
 	a := account.New()
 	for _, path := range c.Files {
@@ -32,7 +32,6 @@
 	if err != nil {
 		return usageError{err}
 	}
-	// The file was only read.
 	defer func() { _ = f.Close() }()
 	if err := a.ReadLog(f); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -1,5 +1,5 @@
-// Package commands is the command line: it reads arguments and small settings
-// files, and puts the processes together.
+// Package commands implements the command line. It parses arguments and process
+// settings files, and sets up and runs the processes.
 package commands
 
 import (
@@ -16,11 +16,11 @@
 const (
 	exitOK     = 0
 	exitFailed = 1
-	// exitUsage is for arguments and settings that are not valid.
+	// exitUsage is for invalid arguments and settings.
 	exitUsage = 2
 )
 
-// Version is the release that this source belongs to.
+// Version is the release version.
 const Version = "0.1.0"
 
 type args struct {
@@ -33,8 +33,8 @@
 	Explain *explainCmd      `arg:"subcommand:explain" help:"show effective settings and the branch that set each"`
 	Load    *loadCmd         `arg:"subcommand:load" help:"send a bounded load and report latency, cache reuse and skew"`
 	Burn    *burnCmd         `arg:"subcommand:burn" help:"report the burn of service levels, merged from entries"`
-	Trace   *traceRequestCmd `arg:"subcommand:trace-request" help:"print the way of one request from the logs of all processes"`
-	Account *accountCmd      `arg:"subcommand:account" help:"tell from the logs of all gates which requests were lost, when and why"`
+	Trace   *traceRequestCmd `arg:"subcommand:trace-request" help:"print the log lines of one request from the logs of all processes, ordered by time"`
+	Account *accountCmd      `arg:"subcommand:account" help:"report from the logs of all gates which requests were lost, when and why"`
 	Version *versionCmd      `arg:"subcommand:version" help:"print the version"`
 }
 
@@ -48,23 +48,24 @@
 	return "Try: weldfall demo. Settings are described in docs/SETTINGS.md, pages and metrics in docs/OPERATORS.md."
 }
 
-// command is a subcommand that was asked for.
+// command is a subcommand.
 type command interface {
 	run(out, errOut io.Writer) error
 }
 
-// usageError marks what the caller got wrong; it ends with exitUsage.
+// usageError is an error in arguments or settings; the exit code is exitUsage.
 type usageError struct{ err error }
 
 // Error implements error.
 func (u usageError) Error() string { return u.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (u usageError) Unwrap() error { return u.err }
 
 func usagef(format string, a ...any) error { return usageError{fmt.Errorf(format, a...)} }
 
-// Main runs the command line and returns the exit code.
+// Main parses and runs a command line without the program name. It returns the
+// exit code.
 func Main(argv []string, out, errOut io.Writer) int {
 	var a args
 	p, err := arg.NewParser(arg.Config{Program: "weldfall", Out: out}, &a)
@@ -104,6 +105,7 @@
 	return err
 }
 
+// readFile returns a file's text with LF line ends. It fails with a usageError.
 func readFile(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -34,63 +34,61 @@
 	LogLevel string `arg:"--log-level" default:"warn" help:"debug, info, warn or error"`
 }
 
-// deployment is a partner as the demo runs it, in today's sizes.
-type deployment struct {
+// demoPartner is a partner of the demo fleet.
+type demoPartner struct {
 	partner    string
 	halls      []string
 	pool       string
 	model      string
 	service    string
 	workspaces int
-	// floor is routing.load_floor: the planning desks weigh cache reuse most,
-	// Vigía load skew.
-	floor int
+	// loadFloor is routing.load_floor. It is higher for planning, which needs cache
+	// reuse most, than for Vigía, which needs low load skew most.
+	loadFloor int
 }
 
-var deployments = []deployment{
+var demoPartners = []demoPartner{
 	{"planning", []string{"halfway-tree", "new-kingston", "portmore"}, "drafting", "drafting-1", "desk", 10, 4},
 	{"vigia", []string{"moin-a", "moin-b", "limon-centro"}, "language", "language-1", "position", 10, 2},
 }
 
-// services is how many instances each plain service has.
-const services = 3
+// serviceInstances is the number of instances of each plain service.
+const serviceInstances = 3
 
-// demoSlots, demoCache, demoPrefill, demoGap and demoTokens shape the demo's
-// engines.
+// Parameters of the stand-in engines.
 const (
-	demoSlots   = 16
-	demoCache   = 400_000
-	demoPrefill = 50
-	demoGap     = clock.Millis(5)
-	demoTokens  = 24
-	demoLag     = clock.Millis(2000)
+	demoSlots              = 16
+	demoCacheTokens        = 400_000
+	demoPrefillTokensPerMS = 50
+	demoTokenGap           = clock.Millis(5)
+	demoResponseTokens     = 24
+	demoReportLag          = clock.Millis(2000)
 )
 
-// demoFleet is a whole fleet in one process.
+// demoFleet is a complete fleet in one process.
 type demoFleet struct {
-	ctx      context.Context
-	errOut   io.Writer
-	logLevel string
-	clk      *clock.Clock
-	platform *standinplatform.Platform
-	// platformURL is where the processes read the platform.
+	ctx         context.Context
+	errOut      io.Writer
+	logLevel    string
+	clk         *clock.Clock
+	platform    *standinplatform.Platform
 	platformURL string
 	closers     []func()
 	daemons     []*daemon.Daemon
 	entries     []*entry.Entry
-	// callers and pages are the entries' addresses.
-	callers, pages []string
-	wg             sync.WaitGroup
-	stopDaemons    context.CancelFunc
-	daemonCtx      context.Context
+	// callerAddrs and adminAddrs have an address for each entry.
+	callerAddrs, adminAddrs []string
+	wg                      sync.WaitGroup
+	stopDaemons             context.CancelFunc
+	daemonCtx               context.Context
 }
 
-// demoKey is the bearer key of a demo workspace.
+// demoKey returns the bearer key of a demo workspace.
 func demoKey(partner, workspace string) string { return partner + "." + workspace + ".demo" }
 
 func (c *demoCmd) run(out, errOut io.Writer) error {
 	if c.Entries < 1 || c.Entries > 8 || c.Engines < 1 || c.Engines > 64 {
-		return usagef("demo: --entries is 1 to 8 and --engines 1 to 64")
+		return usagef("demo: --entries must be 1 to 8 and --engines 1 to 64")
 	}
 	if _, err := logline.New(errOut, c.LogLevel, "demo"); err != nil {
 		return usagef("--log-level %w", err)
@@ -101,24 +99,24 @@
 	if err != nil {
 		return err
 	}
-	defer f.close()
+	defer f.shutdown()
 	if !f.waitReady(ctx) {
 		return errors.New("demo: the fleet did not become ready in 10 seconds")
 	}
-	d := deployments[0]
-	_, _ = fmt.Fprintf(out, "ready: %d entries, %d engines and %d service instances for each of %d partners\n", c.Entries, c.Engines, services, len(deployments))
-	for i := range f.callers {
-		_, _ = fmt.Fprintf(out, "entry http://%s  pages http://%s/engines\n", f.callers[i], f.pages[i])
+	d := demoPartners[0]
+	_, _ = fmt.Fprintf(out, "ready: %d entries, %d engines and %d service instances for each of %d partners\n", c.Entries, c.Engines, serviceInstances, len(demoPartners))
+	for i := range f.callerAddrs {
+		_, _ = fmt.Fprintf(out, "entry http://%s  pages http://%s/engines\n", f.callerAddrs[i], f.adminAddrs[i])
 	}
 	_, _ = fmt.Fprintf(out, "workspace key: %s\ntry:\n  curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\nCtrl-C drains and stops.\n",
-		demoKey(d.partner, "ws0"), f.callers[0], demoKey(d.partner, "ws0"), d.model)
+		demoKey(d.partner, "ws0"), f.callerAddrs[0], demoKey(d.partner, "ws0"), d.model)
 	<-ctx.Done()
 	_, _ = fmt.Fprintln(out, "draining")
 	return nil
 }
 
 // startDemo starts the platform, the engines, the services, the daemons and
-// the entries.
+// the entries. It fails if it cannot open a listener.
 func startDemo(ctx context.Context, errOut io.Writer, c *demoCmd) (*demoFleet, error) {
 	f := &demoFleet{ctx: ctx, errOut: errOut, logLevel: c.LogLevel, clk: clock.System()}
 	f.daemonCtx, f.stopDaemons = context.WithCancel(context.WithoutCancel(ctx))
@@ -129,9 +127,9 @@
 	}
 	f.platformURL = "http://" + addr
 	f.publishSettings()
-	for i, d := range deployments {
-		if err := f.startDeployment(i, d, c); err != nil {
-			f.close()
+	for i, d := range demoPartners {
+		if err := f.startPartner(i, d, c); err != nil {
+			f.shutdown()
 			return nil, err
 		}
 	}
@@ -143,20 +141,20 @@
 	if err != nil {
 		return "", err
 	}
-	f.closers = append(f.closers, servePages(ls[0], h))
+	f.closers = append(f.closers, startServer(ls[0], h))
 	return ls[0].Addr().String(), nil
 }
 
-// publishSettings puts the demo's tree on the platform.
+// publishSettings publishes the settings tree on the platform.
 func (f *demoFleet) publishSettings() {
 	var models strings.Builder
 	models.WriteString("[models]\n")
-	for _, d := range deployments {
+	for _, d := range demoPartners {
 		_, _ = fmt.Fprintf(&models, "%q = %q\n", d.model, d.pool)
 	}
 	f.platform.Put("config", settings.FleetPath, models.String())
-	for _, d := range deployments {
-		f.platform.Put("config", d.partner, fmt.Sprintf("[fairness]\npartner_share = 1.0\n[routing]\nload_floor = %d\n", d.floor))
+	for _, d := range demoPartners {
+		f.platform.Put("config", d.partner, fmt.Sprintf("[fairness]\npartner_share = 1.0\n[routing]\nload_floor = %d\n", d.loadFloor))
 		for i := range d.workspaces {
 			ws := fmt.Sprintf("ws%d", i)
 			path := d.partner + "/" + ws
@@ -166,18 +164,18 @@
 	}
 }
 
-func (f *demoFleet) startDeployment(index int, d deployment, c *demoCmd) error {
+func (f *demoFleet) startPartner(index int, d demoPartner, c *demoCmd) error {
 	for i := range c.Engines {
 		id := fmt.Sprintf("%s-engine-%d", d.partner, i)
 		h := engine.New(engine.Config{
-			ID: id, Slots: demoSlots, CacheTokens: demoCache, PrefillTokensPerMS: demoPrefill, TokenGap: demoGap,
-			Tokens: demoTokens, ReportLag: demoLag, EventGap: 17, Clock: f.clk,
+			ID: id, Slots: demoSlots, CacheTokens: demoCacheTokens, PrefillTokensPerMS: demoPrefillTokensPerMS, TokenGap: demoTokenGap,
+			Tokens: demoResponseTokens, ReportLag: demoReportLag, EventGap: 17, Clock: f.clk,
 		})
 		if err := f.startTarget(d, id, d.pool, d.halls[i%len(d.halls)], h); err != nil {
 			return err
 		}
 	}
-	for i := range services {
+	for i := range serviceInstances {
 		id := fmt.Sprintf("%s-%s-%d", d.partner, d.service, i)
 		if err := f.startTarget(d, id, d.service, d.halls[i%len(d.halls)], service.New(service.Config{ID: id, Delay: 5})); err != nil {
 			return err
@@ -195,7 +193,7 @@
 	return nil
 }
 
-// publish puts an instance on the platform's list.
+// publish adds an instance to the platform's list.
 func (f *demoFleet) publish(in member.Instance) {
 	value, err := json.Marshal(in)
 	if err != nil {
@@ -204,7 +202,7 @@
 	f.platform.Put("instances", in.ID, string(value))
 }
 
-func (f *demoFleet) startTarget(d deployment, id, pool, hall string, h http.Handler) error {
+func (f *demoFleet) startTarget(d demoPartner, id, pool, hall string, h http.Handler) error {
 	addr, err := f.serve(h)
 	if err != nil {
 		return err
@@ -241,10 +239,10 @@
 	}
 	e := entry.New(entry.Config{ID: id, Hall: hall, Platform: source.New(f.platformURL, f.clk), Clock: f.clk, Log: log})
 	f.publish(member.Instance{ID: id, Role: member.Entry, Addr: ls[1].Addr().String(), Hall: hall, State: member.Live})
-	f.closers = append(f.closers, servePages(ls[2], admin.Handler(e)))
+	f.closers = append(f.closers, startServer(ls[2], admin.Handler(e)))
 	f.entries = append(f.entries, e)
-	f.callers = append(f.callers, ls[0].Addr().String())
-	f.pages = append(f.pages, ls[2].Addr().String())
+	f.callerAddrs = append(f.callerAddrs, ls[0].Addr().String())
+	f.adminAddrs = append(f.adminAddrs, ls[2].Addr().String())
 	f.wg.Go(func() { f.runEntry(e, ls[0], ls[1]) })
 	return nil
 }
@@ -255,19 +253,22 @@
 	}
 }
 
-// readyTimeout and readyCheck bound the wait for the demo.
+// readyTimeout bounds the wait for the fleet to become ready, and the wait for
+// its requests to finish at shutdown.
 const (
-	readyTimeout clock.Millis = 10_000
-	readyCheck   clock.Millis = 10
+	readyTimeout      clock.Millis = 10_000
+	readyPollInterval clock.Millis = 10
 )
 
+// waitReady reports whether the fleet became ready before readyTimeout and the
+// end of ctx.
 func (f *demoFleet) waitReady(ctx context.Context) bool {
-	end := f.clk.Now() + readyTimeout
-	for f.clk.Now() < end {
+	deadline := f.clk.Now() + readyTimeout
+	for f.clk.Now() < deadline {
 		if f.allReady() {
 			return true
 		}
-		if !clock.Sleep(ctx, readyCheck) {
+		if !clock.Sleep(ctx, readyPollInterval) {
 			return false
 		}
 	}
@@ -288,14 +289,14 @@
 	return true
 }
 
-// close lets the entries finish, then stops the rest.
-func (f *demoFleet) close() {
+// shutdown waits for the entries to finish their requests, then stops the rest.
+func (f *demoFleet) shutdown() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for _, e := range f.entries {
 			for e.Active() > 0 {
-				clock.Sleep(context.Background(), readyCheck)
+				clock.Sleep(context.Background(), readyPollInterval)
 			}
 		}
 	}()
@@ -310,6 +311,7 @@
 	}
 }
 
+// after returns a channel that is closed after d.
 func (f *demoFleet) after(d clock.Millis) <-chan struct{} {
 	c := make(chan struct{})
 	go func() {
--- a/commands/docs_test.go
+++ b/commands/docs_test.go
@@ -11,25 +11,25 @@
 	"github.com/weldfall/weldfall/commands"
 )
 
-// names finds what an operator meets: metrics and messages of the log.
-var names = []*regexp.Regexp{
+// documentedNames match the metrics and log events that operators see.
+var documentedNames = []*regexp.Regexp{
 	regexp.MustCompile(`(weldfall_[a-z_]+_(?:total|seconds))`),
 	regexp.MustCompile(`\b(?:log|Log)\.(?:Debug|Info|Warn|Error)\("([a-z_]+)"`),
 }
 
-// operatorPages tell the names: of entries and daemons, and of the gate.
-var operatorPages = []string{"../docs/OPERATORS.md", "../docs/OPERATIONS.md"}
+// operatorDocs describe these names: of entries and daemons, and of the gate.
+var operatorDocs = []string{"../docs/OPERATORS.md", "../docs/OPERATIONS.md"}
 
-func TestEveryMetricAndMessageIsInTheOperatorsPages(t *testing.T) {
+func TestMetricsAndLogEventsAreDocumented(t *testing.T) {
 	var page []byte
-	for _, name := range operatorPages {
+	for _, name := range operatorDocs {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		page = append(page, text...)
 	}
-	found := 0
+	count := 0
 	err := filepath.WalkDir("..", func(path string, d os.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") || strings.Contains(path, "fleettest") {
 			return err
@@ -38,9 +38,9 @@
 		if err != nil {
 			return err
 		}
-		for _, re := range names {
+		for _, re := range documentedNames {
 			for _, m := range re.FindAllSubmatch(text, -1) {
-				found++
+				count++
 				if !strings.Contains(string(page), "`"+string(m[1])) {
 					t.Errorf("%s: %s is not in docs/OPERATORS.md or docs/OPERATIONS.md", path, m[1])
 				}
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found < 30 {
-		t.Errorf("got %d names, want more", found)
+	if count < 30 {
+		t.Errorf("got %d names, want more", count)
 	}
 }
 
-func TestEveryReasonIsInTheCallersPage(t *testing.T) {
+func TestReasonsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/CALLERS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	return code, o.String(), e.String()
 }
 
-func TestCheckNamesEachMistakeAndExplainItsSource(t *testing.T) {
+func TestCheckListsErrorsAndExplainShowsSources(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) {
 		t.Helper()
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestEverySubcommandHasHelpAndUsageErrorsExit2(t *testing.T) {
+func TestHelpAndUsageErrors(t *testing.T) {
 	for _, cmd := range []string{"entry", "daemon", "demo", "check", "explain", "load", "burn", "account", "version"} {
 		if code, out, _ := runMain(cmd, "--help"); code != 0 || !strings.Contains(out, "Usage: weldfall "+cmd) {
 			t.Errorf("%s: got %d %q, want its help", cmd, code, out)
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestTraceRequestPrintsTheLinesOfOneRequestInOrder(t *testing.T) {
+func TestTraceRequestPrintsLinesInOrder(t *testing.T) {
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a.log"), filepath.Join(dir, "b.log")
 	for path, text := range map[string]string{
--- a/commands/export_test.go
+++ b/commands/export_test.go
@@ -1,4 +1,4 @@
 package commands
 
-// MaxPage is maxPage, for the tests.
-const MaxPage = maxPage
+// MaxPageBytes exports maxPageBytes for tests.
+const MaxPageBytes = maxPageBytes
--- a/commands/gate.go
+++ b/commands/gate.go
@@ -30,17 +30,17 @@
 	LogLevel    string `arg:"--log-level" default:"info" help:"debug, info, warn or error"`
 }
 
-// memoryShare is the part of the memory limit at which the collector works
-// harder; the rest is for sockets and stacks.
-const memoryShare = 0.6
+// goMemoryShare is the Go memory limit as a share of the memory limit of the
+// process. The rest is for sockets and stacks.
+const goMemoryShare = 0.6
 
-// gcPercent makes the collector run at a quarter of the usual growth of the
-// heap: at 50 a process peaked at 11.9 MB on a busy day, at 25 and without
-// heap profiles, which nothing reads, at 10.7 MB, for the same processor time.
+// gcPercent is a quarter of Go's default. Over a busy day, the memory of a process
+// peaked at 10.7 MB with 25 and heap profiling off, and at 11.9 MB with 50, for the
+// same CPU time.
 const gcPercent = 25
 
 func (c *gateCmd) run(out, _ io.Writer) error {
-	// A reload that comes before the process is up must not end it.
+	// Register early: a SIGHUP before the gate runs must not terminate the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -54,10 +54,11 @@
 	if err != nil {
 		return usagef("log level %w", err)
 	}
+	// Nothing reads heap profiles.
 	runtime.MemProfileRate = 0
 	debug.SetGCPercent(gcPercent)
 	if boot.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(boot.Memory) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(boot.Memory) * goMemoryShare))
 	}
 	ls, err := listenAll(boot.Listen, boot.ReadyListen, fmt.Sprintf("%s:%d", boot.IP, c.MetricsPort), boot.PeersListen)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return runGate(ctx, boot, log, ls, hup)
 }
 
-// runGate serves until ctx is done and what is in flight has finished.
+// runGate serves until ctx is done and the requests in flight have finished.
 func runGate(ctx context.Context, boot platform.Boot, log *slog.Logger, ls []net.Listener, hup <-chan os.Signal) error {
 	clk, link := clock.System(), downlink.New(boot.Link)
 	g := gate.New(gate.Config{
@@ -81,22 +82,22 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stopReading()
-	others := peers.New(peers.Config{
+	node := peers.New(peers.Config{
 		ID: boot.ID, Addr: ls[3].Addr().String(), Seeds: boot.Peers, Host: g, Clock: clk, Log: log,
 	})
-	wg.Go(func() { others.Run(readCtx, ls[3]) })
-	wg.Go(func() { followBoot(readCtx, g, log, hup) })
+	wg.Go(func() { node.Run(readCtx, ls[3]) })
+	wg.Go(func() { reloadOnHangup(readCtx, g, log, hup) })
 	wg.Go(func() { reader.Run(readCtx) })
-	stopPages := servePages(ls[1], readyPages(g))
-	defer stopPages()
-	stopMetrics := servePages(ls[2], metricsPages())
+	stopReadiness := startServer(ls[1], readinessHandler(g))
+	defer stopReadiness()
+	stopMetrics := startServer(ls[2], metricsHandler())
 	defer stopMetrics()
 	return g.Run(ctx, ls[0])
 }
 
-// followBoot puts the bounds of the settings file in force at each SIGHUP. A
-// file that cannot be read leaves those before in force.
-func followBoot(ctx context.Context, g *gate.Gate, log *slog.Logger, hup <-chan os.Signal) {
+// reloadOnHangup applies the bounds of the settings file at each SIGHUP. If the
+// file is invalid, the previous bounds stay in force.
+func reloadOnHangup(ctx context.Context, g *gate.Gate, log *slog.Logger, hup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -113,7 +114,7 @@
 	}
 }
 
-func readyPages(g *gate.Gate) http.Handler {
+func readinessHandler(g *gate.Gate) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
@@ -125,7 +126,7 @@
 	return r
 }
 
-func metricsPages() http.Handler {
+func metricsHandler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(platform.MetricsPath, func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) }).Methods(http.MethodGet)
 	return r
--- a/commands/process.go
+++ b/commands/process.go
@@ -22,20 +22,20 @@
 	"github.com/weldfall/weldfall/report/admin"
 )
 
-// processFile is the small settings file of an entry or a daemon: what a
-// process must know before it can read the settings tree.
+// processFile is the settings file of an entry or a daemon. It has what a process
+// needs before it can read the settings tree.
 type processFile struct {
 	ID   string `toml:"id"`
 	Hall string `toml:"hall"`
-	// Listen is where callers come in; entries only.
+	// Listen is the address for callers; entries only.
 	Listen string `toml:"listen"`
-	// Peers is where the other processes of the system come in.
+	// Peers is the address for the other processes of the system.
 	Peers string `toml:"peers"`
-	// Admin serves the read-only pages.
+	// Admin is the address of the read-only admin pages.
 	Admin string `toml:"admin"`
-	// Platform is the URL of the platform's service.
+	// Platform is the URL of the platform.
 	Platform string `toml:"platform"`
-	// Bootstrap has addresses of peers to ask before the list is known.
+	// Bootstrap has the peers to contact before the instance list is known.
 	Bootstrap []string `toml:"bootstrap"`
 	LogLevel  string   `toml:"log_level"`
 	// Pool and Engines are for daemons only.
@@ -45,7 +45,8 @@
 
 var nameRE = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,63}$`)
 
-// loadProcessFile reads and checks the file of an entry or a daemon.
+// loadProcessFile reads and validates the file of an entry or a daemon. It fails
+// with a usageError.
 func loadProcessFile(path string, isDaemon bool) (processFile, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -127,8 +128,8 @@
 		ID: f.ID, Hall: f.Hall, Bootstrap: f.Bootstrap, Platform: source.New(f.Platform, clk),
 		Clock: clk, Log: log,
 	})
-	stopPages := servePages(ls[2], admin.Handler(e))
-	defer stopPages()
+	stopAdmin := startServer(ls[2], admin.Handler(e))
+	defer stopAdmin()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log.Info("started", "role", "entry", "listen", ls[0].Addr(), "peers", ls[1].Addr(), "admin", ls[2].Addr())
@@ -153,15 +154,15 @@
 		ID: f.ID, Hall: f.Hall, Pool: f.Pool, Engines: f.Engines, Bootstrap: f.Bootstrap,
 		Platform: source.New(f.Platform, clk), Clock: clk, Log: log,
 	})
-	stopPages := servePages(ls[1], admin.Handler(d))
-	defer stopPages()
+	stopAdmin := startServer(ls[1], admin.Handler(d))
+	defer stopAdmin()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log.Info("started", "role", "daemon", "peers", ls[0].Addr(), "admin", ls[1].Addr())
 	return runDaemon(ctx, d, ls[0])
 }
 
-// runDaemon serves until ctx is done, and then leaves before it stops.
+// runDaemon serves until ctx is done, then drains the daemon before it stops.
 func runDaemon(ctx context.Context, d *daemon.Daemon, ln net.Listener) error {
 	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -173,7 +174,7 @@
 	return d.Run(serveCtx, ln)
 }
 
-// listenAll listens on each address, or on none.
+// listenAll listens on all addresses, or fails and closes the listeners.
 func listenAll(addrs ...string) ([]net.Listener, error) {
 	var ls []net.Listener
 	for _, a := range addrs {
@@ -192,12 +193,11 @@
 	return ls, nil
 }
 
-// servePages serves h on ln until the returned function is called.
-func servePages(ln net.Listener, h http.Handler) (stop func()) {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: pagesTimeout.Duration()}
+// startServer serves h on ln until the returned function is called.
+func startServer(ln net.Listener, h http.Handler) (stop func()) {
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout.Duration()}
 	go func() { _ = srv.Serve(ln) }()
 	return func() { _ = srv.Close() }
 }
 
-// pagesTimeout bounds the time in which a header must arrive.
-const pagesTimeout clock.Millis = 5000
+const readHeaderTimeout clock.Millis = 5000
--- a/commands/settings.go
+++ b/commands/settings.go
@@ -20,16 +20,16 @@
 	Paths []string `arg:"positional,required" placeholder:"PATH" help:"files or folders; the path below the folder names the branch: fleet.toml, PARTNER.toml, PARTNER/WORKSPACE.toml, PARTNER/WORKSPACE/SERVICE.toml"`
 }
 
-// run checks all branches together, locks included.
+// run checks all branches together, because a branch can lock keys below it.
 func (c *checkCmd) run(out, errOut io.Writer) error {
 	tree := settings.NewTree()
-	var found []error
+	var problems []error
 	n := 0
 	for _, root := range c.Paths {
-		err := eachBranch(root, func(path, file, text string) {
+		err := walkBranches(root, func(path, file, text string) {
 			n++
 			if _, err := tree.Apply(path, text, int64(n)); err != nil {
-				found = append(found, fmt.Errorf("%s: %w", file, err))
+				problems = append(problems, fmt.Errorf("%s: %w", file, err))
 			}
 		})
 		if err != nil {
@@ -38,21 +38,21 @@
 	}
 	for _, path := range tree.Paths() {
 		if err := tree.LockedKey(path); err != nil {
-			found = append(found, err)
+			problems = append(problems, err)
 		}
 	}
-	for _, err := range found {
+	for _, err := range problems {
 		_, _ = fmt.Fprintln(errOut, err)
 	}
-	if len(found) > 0 {
-		return usagef("%d of %d branches are not valid", len(found), n)
+	if len(problems) > 0 {
+		return usagef("%d of %d branches are not valid", len(problems), n)
 	}
 	_, err := fmt.Fprintf(out, "%d branches are valid\n", n)
 	return err
 }
 
-// eachBranch calls f for every branch below root, the fleet's first.
-func eachBranch(root string, f func(path, file, text string)) error {
+// walkBranches calls f for the TOML files below root in lexical order.
+func walkBranches(root string, f func(path, file, text string)) error {
 	return filepath.WalkDir(root, func(file string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(file) != ".toml" {
 			return err
@@ -94,21 +94,22 @@
 	return w.Flush()
 }
 
+// sources returns the effective settings from the tree or the process.
 func (c *explainCmd) sources() ([]settings.Source, error) {
 	if (c.From == "") == (c.Tree == "") {
-		return nil, usagef("explain: give either --from URL or --tree FOLDER")
+		return nil, usagef("explain: pass either --from URL or --tree FOLDER")
 	}
 	if c.Tree != "" {
 		tree := settings.NewTree()
-		var bad error
+		var problems error
 		n := int64(0)
-		err := eachBranch(c.Tree, func(path, file, text string) {
+		err := walkBranches(c.Tree, func(path, file, text string) {
 			n++
 			if _, err := tree.Apply(path, text, n); err != nil {
-				bad = errors.Join(bad, fmt.Errorf("%s: %w", file, err))
+				problems = errors.Join(problems, fmt.Errorf("%s: %w", file, err))
 			}
 		})
-		if err = errors.Join(err, bad); err != nil {
+		if err = errors.Join(err, problems); err != nil {
 			return nil, usageError{err}
 		}
 		sources, err := tree.Explain(c.Path, c.Key)
@@ -125,16 +126,17 @@
 	return page.Settings, err
 }
 
-// maxPage bounds a page read from a process, in bytes.
-const maxPage = 64 << 20
+const maxPageBytes = 64 << 20
 
+// getJSON decodes the page at u into v. It fails if the status is not 200 or the
+// page exceeds maxPageBytes.
 func getJSON(u string, v any) error {
 	res, err := http.Get(u)
 	if err != nil {
 		return fmt.Errorf("get %s: %w", u, err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	body, err := whole.Read(res.Body, res.ContentLength, maxPage)
+	body, err := whole.Read(res.Body, res.ContentLength, maxPageBytes)
 	if err != nil {
 		return fmt.Errorf("get %s: %w", u, err)
 	}
--- a/commands/settings_test.go
+++ b/commands/settings_test.go
@@ -11,12 +11,12 @@
 	"github.com/weldfall/weldfall/internal/largetest"
 )
 
-func TestAPageThatIsTooLargeIsCalledThat(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(commands.MaxPage))
+func TestOversizedPageError(t *testing.T) {
+	srv := httptest.NewServer(largetest.Over(commands.MaxPageBytes))
 	defer srv.Close()
 	var out, errOut bytes.Buffer
 	code := commands.Main([]string{"explain", "--from", srv.URL, "--path", "fleet"}, &out, &errOut)
-	if want := strconv.Itoa(commands.MaxPage); code == 0 || !strings.Contains(errOut.String(), want) {
+	if want := strconv.Itoa(commands.MaxPageBytes); code == 0 || !strings.Contains(errOut.String(), want) {
 		t.Errorf("got code %d, %q, want an error that names the limit of %s bytes", code, errOut.String(), want)
 	}
 }
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -25,13 +25,13 @@
 }
 
 func (*standinCmd) run(io.Writer, io.Writer) error {
-	return usagef("standin: say which: platform, engine or service")
+	return usagef("standin: missing subcommand: platform, engine or service")
 }
 
 type standinPlatformCmd struct {
 	Listen string  `arg:"--listen" default:"127.0.0.1:0" help:"IP:PORT; the address is printed"`
 	Rate   float64 `arg:"--rate" default:"2000" help:"reads a second for all readers"`
-	LagMS  int64   `arg:"--list-lag-ms" default:"0" help:"how late the list of instances shows a change, in milliseconds"`
+	LagMS  int64   `arg:"--list-lag-ms" default:"0" help:"delay of changes in the list of instances, in milliseconds"`
 }
 
 func (c *standinPlatformCmd) run(out, _ io.Writer) error {
@@ -43,16 +43,16 @@
 	ID          string `arg:"--id" default:"engine"`
 	Slots       int    `arg:"--slots" default:"16" help:"requests that run at once"`
 	CacheTokens int    `arg:"--cache-tokens" default:"200000" help:"cache memory in tokens"`
-	Prefill     int    `arg:"--prefill" default:"20" help:"uncached prompt tokens read in a millisecond, 0 at once"`
-	GapMS       int64  `arg:"--gap-ms" default:"10" help:"time between tokens in milliseconds, 0 none"`
-	Tokens      int    `arg:"--tokens" default:"32" help:"length of an answer that the request does not limit"`
-	LagMS       int64  `arg:"--lag-ms" default:"2000" help:"how late load and cache events are reported, in milliseconds"`
-	EventGap    int    `arg:"--event-gap" default:"17" help:"every n-th cache event is lost, 0 none"`
-	EndsOn      string `arg:"--ends-on" help:"the process ends when it begins a request whose body has this text"`
+	Prefill     int    `arg:"--prefill" default:"20" help:"uncached prompt tokens prefilled in a millisecond, 0 for no delay"`
+	GapMS       int64  `arg:"--gap-ms" default:"10" help:"time between tokens in milliseconds, 0 for none"`
+	Tokens      int    `arg:"--tokens" default:"32" help:"length in tokens of a response that the request does not limit"`
+	LagMS       int64  `arg:"--lag-ms" default:"2000" help:"delay of reported load and cache events, in milliseconds"`
+	EventGap    int    `arg:"--event-gap" default:"17" help:"lose every n-th cache event, 0 for none"`
+	EndsOn      string `arg:"--ends-on" help:"exit when a request starts whose body contains this text"`
 }
 
 func (c *standinEngineCmd) run(out, _ io.Writer) error {
-	return serveStandin(out, c.Listen, endOn(c.EndsOn, engine.New(engine.Config{
+	return serveStandin(out, c.Listen, exitOnText(c.EndsOn, engine.New(engine.Config{
 		ID: c.ID, Slots: c.Slots, CacheTokens: c.CacheTokens, PrefillTokensPerMS: c.Prefill,
 		TokenGap: clock.Millis(c.GapMS), Tokens: c.Tokens, ReportLag: clock.Millis(c.LagMS), EventGap: c.EventGap, Started: printRuns(out), Clock: clock.System(),
 	})))
@@ -61,18 +61,18 @@
 type standinServiceCmd struct {
 	Listen      string `arg:"--listen" default:"127.0.0.1:0" help:"IP:PORT; the address is printed"`
 	ID          string `arg:"--id" default:"service"`
-	DelayMS     int64  `arg:"--delay-ms" default:"5" help:"how long a request runs, in milliseconds"`
-	AnswerBytes int    `arg:"--answer-bytes" default:"0" help:"padding of an answer in bytes"`
-	EndsOn      string `arg:"--ends-on" help:"the process ends when it begins a request whose body has this text"`
+	DelayMS     int64  `arg:"--delay-ms" default:"5" help:"duration of a request in milliseconds"`
+	AnswerBytes int    `arg:"--answer-bytes" default:"0" help:"padding of a response in bytes"`
+	EndsOn      string `arg:"--ends-on" help:"exit when a request starts whose body contains this text"`
 }
 
 func (c *standinServiceCmd) run(out, _ io.Writer) error {
-	return serveStandin(out, c.Listen, endOn(c.EndsOn, service.New(service.Config{ID: c.ID, Delay: clock.Millis(c.DelayMS), AnswerBytes: c.AnswerBytes, Started: printRuns(out)})))
+	return serveStandin(out, c.Listen, exitOnText(c.EndsOn, service.New(service.Config{ID: c.ID, Delay: clock.Millis(c.DelayMS), AnswerBytes: c.AnswerBytes, Started: printRuns(out)})))
 }
 
-// endOn returns a handler that ends the process when a request comes whose body has a
-// text; an empty one is in none.
-func endOn(text string, h http.Handler) http.Handler {
+// exitOnText returns a handler that exits the process if the body of a request
+// contains text. If text is empty, it returns h.
+func exitOnText(text string, h http.Handler) http.Handler {
 	if text == "" {
 		return h
 	}
@@ -83,18 +83,18 @@
 			return
 		}
 		if strings.Contains(string(body), text) {
-			os.Exit(endedCode)
+			os.Exit(triggeredExitCode)
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		h.ServeHTTP(w, r)
 	})
 }
 
-// endedCode is the exit code of a stand-in that a request ended.
-const endedCode = 3
+// triggeredExitCode is the exit code of exitOnText.
+const triggeredExitCode = 3
 
-// printRuns prints a line for each request that starts, before it does
-// anything, so that the count outlives the process.
+// printRuns returns a callback that prints a line for each request before the
+// request runs, so that requests which crash the process are counted.
 func printRuns(out io.Writer) func(engine.Run) {
 	var mu sync.Mutex
 	return func(r engine.Run) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// serveStandin prints the address and serves until a signal.
+// serveStandin prints the address and serves until SIGINT or SIGTERM.
 func serveStandin(out io.Writer, addr string, h http.Handler) error {
 	ls, err := listenAll(addr)
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	stopServing := servePages(ls[0], h)
+	stopServing := startServer(ls[0], h)
 	defer stopServing()
 	<-ctx.Done()
 	return nil
