--- a/common/dial/dial.go
+++ b/common/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial opens TCP connections that notice when the other end has gone
-// dark: a machine without power and a cut network say nothing.
+// Package dial opens TCP connections that detect an unreachable peer: a machine
+// without power or behind a broken network sends neither FIN nor RST.
 package dial
 
 import (
@@ -10,37 +10,37 @@
 )
 
 const (
-	// UserTimeout is how long sent bytes may go unacknowledged before the
-	// kernel gives the connection up.
+	// UserTimeout is how long sent bytes may be unacknowledged before the kernel
+	// closes the connection.
 	UserTimeout clock.Millis = 1500
-	// keepAliveIdle and keepAliveEvery find a dark end while nothing is sent,
-	// within about three seconds.
-	keepAliveIdle  clock.Millis = 1000
-	keepAliveEvery clock.Millis = 1000
-	keepAliveCount              = 2
+	// The keep-alive probes detect an unreachable peer on an idle connection within
+	// about three seconds.
+	keepAliveIdle     clock.Millis = 1000
+	keepAliveInterval clock.Millis = 1000
+	keepAliveCount                 = 2
 	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which
-	// package syscall does not name.
+	// package syscall lacks.
 	tcpUserTimeout = 0x12
 )
 
-// New returns a dialer that waits for limit at most.
-func New(limit clock.Millis) *net.Dialer {
+// New returns a dialer that fails if a connection takes longer than timeout.
+func New(timeout clock.Millis) *net.Dialer {
 	return &net.Dialer{
-		Timeout: limit.Duration(),
+		Timeout: timeout.Duration(),
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveIdle.Duration(), Interval: keepAliveEvery.Duration(), Count: keepAliveCount,
+			Enable: true, Idle: keepAliveIdle.Duration(), Interval: keepAliveInterval.Duration(), Count: keepAliveCount,
 		},
 		Control: setUserTimeout,
 	}
 }
 
 func setUserTimeout(_, _ string, rc syscall.RawConn) error {
-	var opt error
+	var optErr error
 	err := rc.Control(func(fd uintptr) {
-		opt = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(UserTimeout))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(UserTimeout))
 	})
 	if err != nil {
 		return err
 	}
-	return opt
+	return optErr
 }
--- a/common/dial/idle.go
+++ b/common/dial/idle.go
@@ -7,26 +7,26 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// IdleConns are the idle connections of a client. Those that rested while the instance was
-// suspended may have died meanwhile, and the library's idle time stood still.
+// IdleConns closes the idle connections of a client after a suspension of the instance.
+// They may have broken meanwhile, and the idle timeout of net/http stood still.
 type IdleConns struct {
 	http *http.Client
 	clk  *clock.Clock
 
 	mu sync.Mutex
-	// woke is the end of the latest suspension whose connections were closed.
-	woke clock.Millis
+	// resumedAt is the end of the latest suspension after which connections were closed.
+	resumedAt clock.Millis
 }
 
-// NewIdleConns returns the idle connections of a client.
+// NewIdleConns returns the idle connections of c.
 func NewIdleConns(c *http.Client, clk *clock.Clock) *IdleConns { return &IdleConns{http: c, clk: clk} }
 
-// CloseStale closes them if the instance was suspended since the last call.
+// CloseStale closes the idle connections if the instance was suspended since the last call.
 func (i *IdleConns) CloseStale() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if woke := i.clk.ResumedAt(); i.woke != woke {
-		i.woke = woke
+	if resumedAt := i.clk.ResumedAt(); i.resumedAt != resumedAt {
+		i.resumedAt = resumedAt
 		i.http.CloseIdleConnections()
 	}
 }
--- a/common/downlink/downlink_test.go
+++ b/common/downlink/downlink_test.go
@@ -8,58 +8,58 @@
 	"github.com/weldfall/weldfall/common/downlink"
 )
 
-// link is so slow, in bytes a second, that a piece takes 85 ms of it.
-const link = 20_000
+// bytesPerSecond is so low that a chunk takes 85 ms.
+const bytesPerSecond = 20_000
 
-// wait reports whether a transfer may go on at once after its first piece.
-func wait(t *testing.T, d *downlink.Downlink, limit time.Duration) bool {
+// continues reports whether a transfer may continue within limit after its first chunk.
+func continues(t *testing.T, d *downlink.Downlink, limit time.Duration) bool {
 	t.Helper()
-	// A wait that is longer than the context allows fails at once.
+	// Wait fails at once if it would exceed the deadline of its context.
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
-	return d.Wait(ctx, len(d.Chunk(make([]byte, link)))) == nil
+	return d.Wait(ctx, len(d.Chunk(make([]byte, bytesPerSecond)))) == nil
 }
 
-// Callers' bytes come out of what a transfer may read, and only while there is one.
-func TestTransfersTakeWhatCallersLeave(t *testing.T) {
+// Callers' bytes reduce what a transfer may read, but only while it is running.
+func TestCallerBytesDelayTransfer(t *testing.T) {
 	for name, during := range map[string]bool{"callers during a transfer": true, "callers before": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := downlink.New(link)
+			d := downlink.New(bytesPerSecond)
 			if !during {
-				d.RecordCallerBytes(link)
+				d.RecordCallerBytes(bytesPerSecond)
 			}
 			defer d.BeginTransfer()()
 			if during {
-				d.RecordCallerBytes(link)
+				d.RecordCallerBytes(bytesPerSecond)
 			}
-			if got, want := wait(t, d, 150*time.Millisecond), !during; got != want {
-				t.Errorf("got no wait %v, want %v: callers took a second's bytes", got, want)
+			if got, want := continues(t, d, 150*time.Millisecond), !during; got != want {
+				t.Errorf("got the transfer continued %v, want %v: callers used the bandwidth of a second", got, want)
 			}
 		})
 	}
 }
 
-// However much callers take, a transfer goes on: settings land on a busy entry too.
-func TestCallersDoNotStopATransfer(t *testing.T) {
+// A transfer continues whatever callers use, so that settings also reach a busy entry.
+func TestCallersDoNotStopTransfer(t *testing.T) {
 	t.Parallel()
-	d := downlink.New(link)
+	d := downlink.New(bytesPerSecond)
 	defer d.BeginTransfer()()
 	for range 4 {
 		d.RecordCallerBytes(1 << 20)
-		if !wait(t, d, 5*time.Second) {
-			t.Fatal("got a wait of over 5 s, want a piece: callers took a minute's bytes")
+		if !continues(t, d, 5*time.Second) {
+			t.Fatal("got a wait of over 5 s, want a chunk: callers used the bandwidth of a minute")
 		}
 	}
 }
 
-// Nothing is held up on a link of which nothing is known.
-func TestAnUnknownLinkHoldsNothingUp(t *testing.T) {
+// A link of unknown bandwidth delays nothing.
+func TestUnknownLinkLimitsNothing(t *testing.T) {
 	d := downlink.New(0)
 	defer d.BeginTransfer()()
 	d.RecordCallerBytes(1 << 30)
 	if got := len(d.Chunk(make([]byte, 1<<20))); got != 1<<20 {
-		t.Errorf("got a piece of %d bytes, want the whole buffer", got)
+		t.Errorf("got a chunk of %d bytes, want the whole buffer", got)
 	}
 	if err := d.Wait(t.Context(), 1<<30); err != nil {
 		t.Errorf("got %v, want no wait", err)
--- a/common/framing/framing.go
+++ b/common/framing/framing.go
@@ -1,5 +1,5 @@
-// Package framing says how a message tells where it ends, and what is known of one that
-// has ended (RFC 9112, sections 6.3 and 8).
+// Package framing determines how an HTTP message is delimited and whether one that has
+// ended is complete (RFC 9112, sections 6.3 and 8).
 package framing
 
 import (
@@ -8,19 +8,19 @@
 	"net/http"
 )
 
-// Framing is how a message tells where its body ends.
+// Framing is how the end of a message body is determined.
 type Framing string
 
 const (
-	// Length is a body of a known length, which may be none.
+	// Length is a body of known length, which may be zero.
 	Length Framing = "length"
-	// Chunked is a body whose last chunk ends it.
+	// Chunked is a body that ends with its last chunk.
 	Chunked Framing = "chunked"
 	// UntilClose is a body that ends with its connection.
 	UntilClose Framing = "close"
 )
 
-// OfResponse returns the framing of an answer.
+// OfResponse returns the framing of a response.
 func OfResponse(res *http.Response) Framing {
 	switch {
 	case len(res.TransferEncoding) > 0:
@@ -31,20 +31,20 @@
 	return UntilClose
 }
 
-// Completeness is what is known of a message that has ended.
+// Completeness is whether a message that has ended is known to be complete.
 type Completeness string
 
 const (
-	// Complete means that the sender's framing says that this is all.
+	// Complete means that the message is complete by its framing.
 	Complete Completeness = "complete"
-	// Closed means that the message ended with its connection: whether it is complete is
-	// not known.
+	// Closed means that the message ended with its connection, so that it is unknown
+	// whether it is complete.
 	Closed Completeness = "closed"
-	// Incomplete means that the message broke off.
+	// Incomplete means that the message was truncated.
 	Incomplete Completeness = "incomplete"
 )
 
-// Completeness returns what the error that ended the reading of a body says.
+// Completeness returns the completeness of a body whose reading ended with err.
 func (f Framing) Completeness(err error) Completeness {
 	switch {
 	case !errors.Is(err, io.EOF):
--- a/common/framing/framing_test.go
+++ b/common/framing/framing_test.go
@@ -10,11 +10,11 @@
 	"github.com/weldfall/weldfall/common/framing"
 )
 
-func TestWhatIsKnownOfAnAnswersEnd(t *testing.T) {
+func TestCompletenessOfResponse(t *testing.T) {
 	cases := []struct {
-		name, method, answer string
-		framing              framing.Framing
-		end                  framing.Completeness
+		name, method, response string
+		framing                framing.Framing
+		completeness           framing.Completeness
 	}{
 		{"length", "GET", "Content-Length: 4\r\n\r\nbody", framing.Length, framing.Complete},
 		{"less than its length", "GET", "Content-Length: 5\r\n\r\nbody", framing.Length, framing.Incomplete},
@@ -28,7 +28,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			res, err := http.ReadResponse(bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\n"+tc.answer)), &http.Request{Method: tc.method})
+			res, err := http.ReadResponse(bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\n"+tc.response)), &http.Request{Method: tc.method})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -43,8 +43,8 @@
 					break
 				}
 			}
-			if got := f.Completeness(end); got != tc.end {
-				t.Errorf("got %s by %v, want %s", got, end, tc.end)
+			if got := f.Completeness(end); got != tc.completeness {
+				t.Errorf("got %s by %v, want %s", got, end, tc.completeness)
 			}
 		})
 	}
--- a/common/fresh/fresh.go
+++ b/common/fresh/fresh.go
@@ -1,32 +1,32 @@
-// Package fresh tells up to when something that was read is known to be
-// true. What a read brought is known to be true at the moment at which the
-// read was sent, and at no later one: an answer may wait anywhere on its way.
-// It is pure: the time is handed in.
+// Package fresh tracks up to when something that was read is known to be
+// current. The content of a response is known to be current when the request was
+// sent, and no later, as the response may be delayed anywhere on its way. The
+// package reads no clock: callers pass the time.
 package fresh
 
 import "github.com/weldfall/weldfall/common/clock"
 
-// Tracker is the age of something that was read from its source.
+// Tracker tracks the age of something that was read from its source.
 type Tracker struct {
-	// trueAt is the latest time at which the belief is known to have been
-	// true; it never goes back.
-	trueAt clock.Millis
-	known  bool
+	// confirmedAt is the latest time at which the content is known to have been
+	// current. It never decreases.
+	confirmedAt clock.Millis
+	known       bool
 }
 
-// Confirm records that the belief was true at the given time.
-func (b *Tracker) Confirm(at clock.Millis) {
-	if !b.known || at > b.trueAt {
-		b.trueAt = at
+// Confirm records that the content was current at the given time.
+func (t *Tracker) Confirm(at clock.Millis) {
+	if !t.known || at > t.confirmedAt {
+		t.confirmedAt = at
 	}
-	b.known = true
+	t.known = true
 }
 
-// Known reports whether anything was ever read.
-func (b *Tracker) Known() bool { return b.known }
+// Known reports whether anything was read.
+func (t *Tracker) Known() bool { return t.known }
 
-// Age returns how long ago the belief was last known to be true.
-func (b *Tracker) Age(now clock.Millis) clock.Millis { return now - b.trueAt }
+// Age returns how long ago the content was last known to be current.
+func (t *Tracker) Age(now clock.Millis) clock.Millis { return now - t.confirmedAt }
 
-// Within reports whether the belief is known and at most limit old.
-func (b *Tracker) Within(limit, now clock.Millis) bool { return b.known && b.Age(now) <= limit }
+// Within reports whether the content is known and its age at most limit.
+func (t *Tracker) Within(limit, now clock.Millis) bool { return t.known && t.Age(now) <= limit }
--- a/common/logline/logline.go
+++ b/common/logline/logline.go
@@ -1,6 +1,5 @@
-// Package logline writes log lines without ever holding up the code that
-// logs: a bounded buffer takes them, and what does not fit is dropped and
-// counted.
+// Package logline writes log lines without blocking the code that logs. Lines
+// pass through a bounded buffer; those that do not fit are dropped and counted.
 package logline
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// maxPending bounds the lines that wait for the output. At 300 bytes a line
+// maxPending limits the lines that wait for the output. At 300 bytes per line
 // the buffer takes at most about 0.3 MB.
 const maxPending = 1024
 
@@ -21,10 +20,10 @@
 	linesDropped = metrics.NewCounter("weldfall_log_lines_dropped_total")
 )
 
-// Dropped returns how many lines this process has dropped.
+// Dropped returns the number of lines that this process has dropped.
 func Dropped() uint64 { return linesDropped.Get() }
 
-// Writer hands lines to an output in the background.
+// Writer writes lines to an output in the background.
 type Writer struct {
 	out     io.Writer
 	pending chan []byte
@@ -32,15 +31,15 @@
 	closing sync.Once
 }
 
-// NewWriter returns a Writer to out and starts its goroutine; Close ends it.
+// NewWriter returns a Writer to out and starts its goroutine, which Close ends.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, pending: make(chan []byte, maxPending), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never blocks and never fails: a line that does not
-// fit is counted in weldfall_log_lines_dropped_total.
+// Write queues one line. It never blocks and never fails: a line that does not
+// fit is dropped and counted in weldfall_log_lines_dropped_total.
 func (w *Writer) Write(line []byte) (int, error) {
 	c := make([]byte, len(line))
 	copy(c, line)
@@ -53,8 +52,8 @@
 	return len(line), nil
 }
 
-// Close stops taking lines and waits until the pending ones are written.
-// Nothing may be written afterwards.
+// Close waits until the pending lines are written. Write must not be called
+// afterwards.
 func (w *Writer) Close() {
 	w.closing.Do(func() { close(w.pending) })
 	<-w.done
@@ -65,14 +64,14 @@
 	var batch []byte
 	for line := range w.pending {
 		batch = append(batch[:0], line...)
-		batch = w.gather(batch)
-		// An output that fails has nobody to be told.
+		batch = w.appendPending(batch)
+		// A failure of the log output cannot be logged.
 		_, _ = w.out.Write(batch)
 	}
 }
 
-// gather adds the lines that wait already, so that a burst costs one write.
-func (w *Writer) gather(batch []byte) []byte {
+// appendPending appends the lines that are already queued, so that a burst costs one write.
+func (w *Writer) appendPending(batch []byte) []byte {
 	for {
 		select {
 		case line, ok := <-w.pending:
@@ -86,7 +85,8 @@
 	}
 }
 
-// New returns a logger of key=value lines to w that names the instance.
+// New returns a logger that writes key=value lines to w, each with the instance ID. It
+// fails if level is unknown.
 func New(w io.Writer, level, id string) (*slog.Logger, error) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
--- a/common/silence/silence.go
+++ b/common/silence/silence.go
@@ -1,5 +1,5 @@
-// Package silence tells an end that gives no sign from one that is only slow, and
-// from a process of ours that had no time to listen.
+// Package silence detects peers that send nothing. It distinguishes them from peers that are
+// only slow, and from pauses of its own process.
 package silence
 
 import (
@@ -14,135 +14,134 @@
 )
 
 const (
-	// parts is in how many parts a limit is waited for. Time counts only a part at
-	// a time, each begun after the one before was seen to be over, so a process
-	// that stands still for however long is charged with one part; what came
-	// meanwhile is read before the next is over.
-	parts = 7
-	// least is how many bytes must come within a limit: a full packet. Fewer are no
-	// sign, or a byte now and then would hold a wait for ever.
-	least = 1460
+	// timerParts is the number of consecutive timers that a limit is divided into. A pause
+	// of this process, however long, counts as at most one of them, and the data that
+	// arrived during the pause is read before the next one expires.
+	timerParts = 7
+	// minBytes must arrive within a limit: a full packet. Otherwise a byte now and then
+	// would extend a wait forever.
+	minBytes = 1460
 )
 
-// Detector notices when something from which bytes are expected falls silent. It is
-// safe for concurrent use.
+// Detector detects when a peer from which data is expected sends none. It is safe for
+// concurrent use.
 type Detector struct {
-	heard atomic.Int64
-	// begun is closed by MarkStarted.
-	begun chan struct{}
-	// sent holds a token when a request was sent, for the first time or again.
+	received atomic.Int64
+	// started is closed by MarkStarted.
+	started chan struct{}
+	// sent holds a token after a request was sent, for the first time or again.
 	sent chan struct{}
 }
 
-// ErrSilent is why a context ended whose Detector heard nothing.
-var ErrSilent = errors.New("no answer in time")
+// ErrSilent is the cause of a context that ended because the peer sent nothing.
+var ErrSilent = errors.New("no response in time")
 
-// Context returns a context that ends with ErrSilent as its cause when no sign came
-// for the limit, counted as WaitSilent does, and what ends it, which must be called. A
-// request that net/http sends with it tells the guard: the library sends one again,
-// without word, if a connection that rested breaks under it. Counted from the first
-// sending, one that was sent again late in its wait was taken for silent.
-func (g *Detector) Context(ctx context.Context, wait, limit clock.Millis) (context.Context, func()) {
-	silent, end := context.WithCancelCause(ctx)
+// Context returns a context that ends with the cause ErrSilent when WaitSilent would return
+// true, and a function that ends it, which must be called. The context traces requests of
+// net/http and marks them as sent. The library silently sends a request again if an idle
+// connection breaks. If the limit were counted from the first time, a peer that received
+// the second one late would be considered silent.
+func (d *Detector) Context(ctx context.Context, wait, limit clock.Millis) (context.Context, func()) {
+	silenceCtx, end := context.WithCancelCause(ctx)
 	go func() {
-		if g.WaitSilent(silent, wait, limit) {
+		if d.WaitSilent(silenceCtx, wait, limit) {
 			end(ErrSilent)
 		}
 	}()
-	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { g.MarkSent() }}
-	return httptrace.WithClientTrace(silent, trace), func() { end(nil) }
+	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { d.MarkSent() }}
+	return httptrace.WithClientTrace(silenceCtx, trace), func() { end(nil) }
 }
 
-// New returns a guard of something that has given no sign.
-func New() *Detector { return &Detector{begun: make(chan struct{}), sent: make(chan struct{}, 1)} }
+// New returns a detector for a peer that has sent nothing yet.
+func New() *Detector { return &Detector{started: make(chan struct{}), sent: make(chan struct{}, 1)} }
 
-// MarkStarted records the first sign, once: what was waited for has begun.
-func (g *Detector) MarkStarted() { close(g.begun) }
+// MarkStarted records that the response has started. It must be called at most once.
+func (d *Detector) MarkStarted() { close(d.started) }
 
-// MarkSent records that a request was sent: who holds it does so from now on.
-func (g *Detector) MarkSent() {
+// MarkSent records that a request was sent, which restarts the wait for its response.
+func (d *Detector) MarkSent() {
 	select {
-	case g.sent <- struct{}{}:
+	case d.sent <- struct{}{}:
 	default:
 	}
 }
 
-// RecordBytes records that bytes came.
-func (g *Detector) RecordBytes(bytes int) { g.heard.Add(int64(bytes)) }
+// RecordBytes records that n bytes were received.
+func (d *Detector) RecordBytes(n int) { d.received.Add(int64(n)) }
 
-// Reader returns r with each read heard.
-func (g *Detector) Reader(r io.Reader) io.Reader { return reader{r, g} }
+// Reader returns a reader of r that records the bytes read.
+func (d *Detector) Reader(r io.Reader) io.Reader { return reader{r, d} }
 
 type reader struct {
 	r io.Reader
-	g *Detector
+	d *Detector
 }
 
 // Read implements io.Reader.
 func (r reader) Read(p []byte) (int, error) {
 	n, err := r.r.Read(p)
-	r.g.RecordBytes(n)
+	r.d.RecordBytes(n)
 	return n, err
 }
 
-// WaitSilent returns true when no sign came for the limit, counted from the first sign or
-// the end of the given wait, which begins anew with each sending, and false when ctx
-// is done.
-func (g *Detector) WaitSilent(ctx context.Context, wait, limit clock.Millis) bool {
+// WaitSilent returns true when too few bytes were received for the limit, and false when ctx
+// is done. The limit starts when the response starts or the given wait is over, whichever
+// is first. The wait restarts each time a request is sent.
+func (d *Detector) WaitSilent(ctx context.Context, wait, limit clock.Millis) bool {
 	for {
-		if !g.hold(ctx, wait) {
+		if !d.waitStart(ctx, wait) {
 			return false
 		}
-		sent, silent := g.listen(ctx, limit)
+		sent, silent := d.waitLimit(ctx, limit)
 		if !sent {
 			return silent
 		}
 	}
 }
 
-// hold waits for the first sign, or the given wait after the latest sending. It
-// returns false when ctx is done.
-func (g *Detector) hold(ctx context.Context, wait clock.Millis) bool {
+// waitStart blocks until the response has started or the given wait since the latest
+// request is over. It returns false when ctx is done.
+func (d *Detector) waitStart(ctx context.Context, wait clock.Millis) bool {
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-g.begun:
+		case <-d.started:
 			return true
 		case <-t.C:
 			return true
-		case <-g.sent:
+		case <-d.sent:
 			t.Reset(wait.Duration())
 		}
 	}
 }
 
-// listen waits until no sign comes for the limit, until a request is sent again, or
-// until ctx is done, which is neither.
-func (g *Detector) listen(ctx context.Context, limit clock.Millis) (sent, silent bool) {
-	begun := g.begun
+// waitLimit blocks until too few bytes were received for the limit (silent), a request was
+// sent again (sent), or ctx is done (neither).
+func (d *Detector) waitLimit(ctx context.Context, limit clock.Millis) (sent, silent bool) {
+	started := d.started
 	select {
-	case <-begun:
-		begun = nil
+	case <-started:
+		started = nil
 	default:
 	}
-	heard := g.heard.Load()
-	for missed := 0; missed < parts; {
-		if !clock.Sleep(ctx, limit/parts) {
+	received := d.received.Load()
+	for missed := 0; missed < timerParts; {
+		if !clock.Sleep(ctx, limit/timerParts) {
 			return false, false
 		}
 		missed++
 		select {
-		case <-begun:
-			begun, missed = nil, 0
-		case <-g.sent:
+		case <-started:
+			started, missed = nil, 0
+		case <-d.sent:
 			return true, false
 		default:
 		}
-		if now := g.heard.Load(); now-heard >= least {
-			heard, missed = now, 0
+		if now := d.received.Load(); now-received >= minBytes {
+			received, missed = now, 0
 		}
 	}
 	return false, true
--- a/common/silence/silence_test.go
+++ b/common/silence/silence_test.go
@@ -11,24 +11,24 @@
 
 const limit clock.Millis = 140
 
-// feed tells the guard of n bytes each few milliseconds until ctx is done.
-func feed(ctx context.Context, g *silence.Detector, n int) {
+// feed records n bytes every few milliseconds until ctx is done.
+func feed(ctx context.Context, d *silence.Detector, n int) {
 	for clock.Sleep(ctx, 5) {
-		g.RecordBytes(n)
+		d.RecordBytes(n)
 	}
 }
 
-func TestWhatGivesNoSignIsSilent(t *testing.T) {
+func TestWaitSilent(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
-		begin bool
+		start bool
 		bytes int
 		want  bool
 	}{
 		"nothing":             {want: true},
-		"a head and no more":  {begin: true, want: true},
-		"packets":             {begin: true, bytes: 3000},
-		"a byte now and then": {begin: true, bytes: 1, want: true},
+		"a header only":       {start: true, want: true},
+		"packets":             {start: true, bytes: 3000},
+		"a byte now and then": {start: true, bytes: 1, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -37,28 +37,29 @@
 				ctx, cancel = context.WithTimeout(t.Context(), time.Second)
 			}
 			defer cancel()
-			g := silence.New()
-			if tc.begin {
-				g.MarkStarted()
+			d := silence.New()
+			if tc.start {
+				d.MarkStarted()
 			}
 			if tc.bytes > 0 {
-				go feed(ctx, g, tc.bytes)
+				go feed(ctx, d, tc.bytes)
 			}
-			if got := g.WaitSilent(ctx, 0, limit); got != tc.want {
+			if got := d.WaitSilent(ctx, 0, limit); got != tc.want {
 				t.Errorf("got silent %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// Once something has begun, its wait is over, however long that was.
-func TestASilenceAfterTheFirstSignIsNotWaitedOut(t *testing.T) {
+// The wait for a response ends when it starts: a peer that sends nothing after that is
+// detected after the limit, however long the wait was.
+func TestWaitEndsWhenResponseStarts(t *testing.T) {
 	t.Parallel()
-	g := silence.New()
-	go g.MarkStarted()
+	d := silence.New()
+	go d.MarkStarted()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	if !g.WaitSilent(ctx, 600_000, limit) {
-		t.Error("got no silence, want one")
+	if !d.WaitSilent(ctx, 600_000, limit) {
+		t.Error("got no silence detected within 10 s, want it after the limit")
 	}
 }
--- a/common/sock/sock.go
+++ b/common/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock looks at connections without reading from them.
+// Package sock inspects connections without reading from them.
 package sock
 
 import (
@@ -7,11 +7,12 @@
 	"syscall"
 )
 
-// ErrNotSyscallConn means that a connection cannot be looked at.
+// ErrNotSyscallConn means that a connection has no file descriptor to inspect.
 var ErrNotSyscallConn = errors.New("not a connection of the operating system")
 
-// NothingToRead reports whether an open connection has nothing to read: neither bytes
-// nor its end. It may be called while another goroutine reads.
+// NothingToRead reports whether an open connection has neither data nor EOF to read. It may
+// be called while another goroutine reads. It fails with ErrNotSyscallConn for connections
+// that are not of the operating system.
 func NothingToRead(nc net.Conn) (bool, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -21,11 +22,11 @@
 	if err != nil {
 		return false, err
 	}
-	quiet := false
+	empty := false
 	err = rc.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, e := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = e == syscall.EAGAIN || e == syscall.EWOULDBLOCK
+		var buf [1]byte
+		_, _, e := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		empty = e == syscall.EAGAIN || e == syscall.EWOULDBLOCK
 	})
-	return quiet, err
+	return empty, err
 }
--- a/common/sock/sock_test.go
+++ b/common/sock/sock_test.go
@@ -29,8 +29,8 @@
 	return near, far
 }
 
-// becomes waits until a connection is quiet or not.
-func becomes(t *testing.T, nc net.Conn, want bool) {
+// waitNothingToRead waits until NothingToRead reports want.
+func waitNothingToRead(t *testing.T, nc net.Conn, want bool) {
 	t.Helper()
 	for range 1000 {
 		got, err := sock.NothingToRead(nc)
@@ -42,33 +42,33 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Errorf("got a connection that is quiet %t, want %t", !want, want)
+	t.Errorf("got nothing to read %t, want %t", !want, want)
 }
 
-func TestQuiet(t *testing.T) {
+func TestNothingToRead(t *testing.T) {
 	near, far := pair(t)
-	becomes(t, near, true)
+	waitNothingToRead(t, near, true)
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	becomes(t, near, false)
+	waitNothingToRead(t, near, false)
 	if n, err := near.Read(make([]byte, 1)); n != 1 || err != nil {
-		t.Errorf("got %d, %v, want the byte to be there still", n, err)
+		t.Errorf("got %d, %v, want the byte to be still there", n, err)
 	}
-	becomes(t, near, true)
+	waitNothingToRead(t, near, true)
 	if err := far.Close(); err != nil {
 		t.Fatal(err)
 	}
-	becomes(t, near, false)
+	waitNothingToRead(t, near, false)
 }
 
-func TestQuietWhileAnotherReads(t *testing.T) {
+func TestNothingToReadDuringRead(t *testing.T) {
 	near, _ := pair(t)
 	go func() { _, _ = near.Read(make([]byte, 1)) }()
-	becomes(t, near, true)
+	waitNothingToRead(t, near, true)
 }
 
-func TestAConnectionThatCannotBeLookedAt(t *testing.T) {
+func TestNothingToReadFailsWithoutDescriptor(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _, _ = near.Close(), far.Close() }()
 	if _, err := sock.NothingToRead(near); !errors.Is(err, sock.ErrNotSyscallConn) {
--- a/common/strict/strict.go
+++ b/common/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict decodes TOML and reports mistakes so that a person can mend
-// them: file, line, column, key and remedy.
+// Package strict decodes TOML. Its errors name file, line, column and key of a
+// mistake and how to correct it.
 package strict
 
 import (
@@ -14,8 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes text into the struct that v points to and refuses unknown
-// keys. Errors name the place, line, column, key and remedy.
+// Decode decodes text into the struct that v points to. It fails on unknown keys.
 func Decode(path, text string, v any) error {
 	d := toml.NewDecoder(bytes.NewReader([]byte(text)))
 	d.DisallowUnknownFields()
@@ -38,11 +37,13 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
+// remedy returns a decoder message with a hint for its correction.
 func remedy(msg string) string {
 	return strings.TrimPrefix(msg, "toml: ") + ": write the type that the reference gives"
 }
 
-// Suggest names the nearest known key, for the end of an error.
+// Suggest returns the end of an error about an unknown key: the nearest known key or, if
+// none is near, where to find all keys.
 func Suggest(key string, known []string) string {
 	best, dist := "", 5
 	for _, k := range known {
@@ -56,12 +57,12 @@
 	return fmt.Sprintf(": did you mean %q?", best)
 }
 
-// LineError returns an error that names path, line, key and problem.
+// LineError returns an error with path, line and key of a problem in text.
 func LineError(path, text, key, problem string) error {
 	return fmt.Errorf("%s:%d: key %q: %s", path, lineOf(text, key), key, problem)
 }
 
-// lineOf finds the line that sets the last part of a dotted key; 1 if none.
+// lineOf returns the number of the line that sets a dotted key, 1 if there is none.
 func lineOf(text, key string) int {
 	section, name := "", key
 	if i := strings.LastIndex(key, "."); i >= 0 {
@@ -84,7 +85,7 @@
 	return 1
 }
 
-// withSections adds the names of the tables that keys are in.
+// withSections returns keys and the names of the tables that they are in.
 func withSections(keys []string) []string {
 	out := slices.Clone(keys)
 	for _, k := range keys {
@@ -95,7 +96,7 @@
 	return out
 }
 
-// KeysOf lists the dotted toml names of the struct that v points to, sorted.
+// KeysOf returns the dotted TOML keys of the struct that v points to, sorted.
 func KeysOf(v any) []string {
 	var keys []string
 	collectKeys("", reflect.TypeOf(v).Elem(), &keys)
--- a/common/whole/whole.go
+++ b/common/whole/whole.go
@@ -1,4 +1,4 @@
-// Package whole reads bodies to their end, within a bound.
+// Package whole reads complete bodies of limited size.
 package whole
 
 import (
@@ -7,14 +7,15 @@
 	"io"
 )
 
-// ErrTooLarge means that a body is longer than the bound, which the error names.
+// ErrTooLarge means that a body exceeds the limit. Errors that wrap it give the limit.
 var ErrTooLarge = errors.New("too large")
 
-// Read reads a body of the given length, or of unknown length if it is
-// negative. A known length must be within the limit.
+// Read returns the complete body of the given length, or of unknown length if it
+// is negative. It fails with ErrTooLarge if the body exceeds the limit, without
+// reading it if the length is known.
 func Read(r io.Reader, length, limit int64) ([]byte, error) {
 	if length > limit {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d are read", ErrTooLarge, length, limit)
+		return nil, fmt.Errorf("%w: %d bytes exceed the limit of %d", ErrTooLarge, length, limit)
 	}
 	if length >= 0 {
 		body := make([]byte, length)
--- a/common/whole/whole_test.go
+++ b/common/whole/whole_test.go
@@ -18,8 +18,8 @@
 	}{
 		{"known length", 4, "body", nil},
 		{"unknown length", -1, "body", nil},
-		{"cut off", 5, "", io.ErrUnexpectedEOF},
-		{"too long by its length", 9, "", whole.ErrTooLarge},
+		{"truncated", 5, "", io.ErrUnexpectedEOF},
+		{"length over the limit", 9, "", whole.ErrTooLarge},
 	} {
 		got, err := whole.Read(strings.NewReader("body"), tc.length, 8)
 		if !errors.Is(err, tc.err) || (err == nil && string(got) != tc.want) {
