--- a/report/account/account.go
+++ b/report/account/account.go
@@ -59,7 +59,7 @@
 	PromptNotCached Cause = "cold prompt"
 	// PromptFetched: the engine fetched the cached prompt from another engine.
 	PromptFetched Cause = "prompt moved"
-	// Contention: the engine had the prompt cached, so that the delay comes from
+	// Contention: the engine had the prompt cached, so the delay comes from
 	// other requests on the engine.
 	Contention Cause = "behind other requests"
 	// StreamPaused: the stream paused for too long after it had started.
--- a/report/account/tables.go
+++ b/report/account/tables.go
@@ -13,8 +13,8 @@
 // tableUse is the use of one settings version.
 type tableUse struct {
 	version int64
-	// entries counts the processes on which the version came into force, first and
-	// last are the earliest and latest time; zero if not logged.
+	// entries counts the processes on which the version came into force. first and
+	// last are the earliest and latest time, zero if not logged.
 	entries     int
 	first, last time.Time
 	// requests counts the requests that used the version. The last of them ended
