--- a/commands/settings_test.go
+++ b/commands/settings_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAPageThatIsTooLargeIsCalledThat(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(commands.MaxPage))
+	srv := httptest.NewServer(largetest.OverLimit(commands.MaxPage))
 	defer srv.Close()
 	var out, errOut bytes.Buffer
 	code := commands.Main([]string{"explain", "--from", srv.URL, "--path", "fleet"}, &out, &errOut)
--- a/common/clock/clock_test.go
+++ b/common/clock/clock_test.go
@@ -15,18 +15,18 @@
 // by is not.
 func TestNowCountsSuspensions(t *testing.T) {
 	for name, tc := range map[string]struct {
-		move func(h *clocktest.Hands)
+		move func(h *clocktest.Source)
 		want clock.Millis
 	}{
-		"nothing":               {func(*clocktest.Hands) {}, 0},
-		"a suspension":          {func(h *clocktest.Hands) { h.Suspend(5 * time.Second) }, 5000},
-		"a short one":           {func(h *clocktest.Hands) { h.Suspend(100 * time.Millisecond) }, 100},
-		"the time of day set":   {func(h *clocktest.Hands) { h.Set(5 * time.Second) }, 0},
-		"... back":              {func(h *clocktest.Hands) { h.Set(-5 * time.Second) }, 0},
-		"both, on":              {func(h *clocktest.Hands) { h.Move(5*time.Second, time.Second) }, 5000},
-		"both, back":            {func(h *clocktest.Hands) { h.Move(5*time.Second, -time.Hour) }, 5000},
-		"one after the other":   {func(h *clocktest.Hands) { h.Suspend(time.Second); h.Set(-time.Second) }, 1000},
-		"two suspensions apart": {func(h *clocktest.Hands) { h.Suspend(time.Second); h.Suspend(2 * time.Second) }, 3000},
+		"nothing":               {func(*clocktest.Source) {}, 0},
+		"a suspension":          {func(h *clocktest.Source) { h.Suspend(5 * time.Second) }, 5000},
+		"a short one":           {func(h *clocktest.Source) { h.Suspend(100 * time.Millisecond) }, 100},
+		"the time of day set":   {func(h *clocktest.Source) { h.StepWallTime(5 * time.Second) }, 0},
+		"... back":              {func(h *clocktest.Source) { h.StepWallTime(-5 * time.Second) }, 0},
+		"both, on":              {func(h *clocktest.Source) { h.SuspendAndStep(5*time.Second, time.Second) }, 5000},
+		"both, back":            {func(h *clocktest.Source) { h.SuspendAndStep(5*time.Second, -time.Hour) }, 5000},
+		"one after the other":   {func(h *clocktest.Source) { h.Suspend(time.Second); h.StepWallTime(-time.Second) }, 1000},
+		"two suspensions apart": {func(h *clocktest.Source) { h.Suspend(time.Second); h.Suspend(2 * time.Second) }, 3000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -54,18 +54,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
 		c := clock.New(h)
-		before, read := c.Now(), h.Boots()
+		before, read := c.Now(), h.BootTimeReads()
 		for range 1000 {
 			c.Now()
 		}
-		if got := h.Boots() - read; got != 0 {
+		if got := h.BootTimeReads() - read; got != 0 {
 			t.Errorf("got the costly clock read %d times while nothing happened, want 0", got)
 		}
 		h.Suspend(3 * time.Second)
 		if got := c.Now() - before; got != 3000 {
 			t.Errorf("got %d ms gone by, want 3000", got)
 		}
-		h.Move(3*time.Second, -3*time.Second)
+		h.SuspendAndStep(3*time.Second, -3*time.Second)
 		c.CheckSuspended()
 		if got := c.Now() - before; got != 6000 {
 			t.Errorf("got %d ms gone by after a check, want 6000", got)
@@ -75,7 +75,7 @@
 
 func TestTimeDoesNotGoBackOrJumpWhereBootIsNotTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := clocktest.WithoutBoot()
+		h := clocktest.NewWithoutBootTime()
 		c := clock.New(h)
 		before := c.Now()
 		h.Suspend(3 * time.Second)
@@ -88,7 +88,7 @@
 
 // lookedAt are hands that call look before they tell the time since the boot, once.
 type lookedAt struct {
-	*clocktest.Hands
+	*clocktest.Source
 	look func()
 }
 
@@ -98,13 +98,13 @@
 		h.look = nil
 		look()
 	}
-	return h.Hands.SinceBoot()
+	return h.Source.SinceBoot()
 }
 
 // Who reads the clock while another is about to find out how long a suspension lasted waits
 // for that, and does not take the time of before for now.
 func TestNobodyReadsTheTimeOfBeforeASuspension(t *testing.T) {
-	h := &lookedAt{Hands: clocktest.New()}
+	h := &lookedAt{Source: clocktest.New()}
 	c := clock.New(h)
 	before := c.Now()
 	other := make(chan [2]clock.Millis, 1)
@@ -141,7 +141,7 @@
 			if got := c.ResumedAt(); got != before+3000 {
 				t.Errorf("got a suspension that ended at %d, want %d", got, before+3000)
 			}
-			h.Set(time.Hour)
+			h.StepWallTime(time.Hour)
 			if got := c.ResumedAt(); got != before+3000 {
 				t.Errorf("got a suspension that ended at %d after the time of day was set, want %d", got, before+3000)
 			}
--- a/daemon/target/target_test.go
+++ b/daemon/target/target_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestAReportThatIsTooLargeIsCalledThat(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(target.MaxControlAnswer))
+	srv := httptest.NewServer(largetest.OverLimit(target.MaxControlAnswer))
 	defer srv.Close()
 	_, err := target.New(srv.Listener.Addr().String()).Load(t.Context())
 	if want := strconv.Itoa(target.MaxControlAnswer); !errors.Is(err, whole.ErrTooLarge) || !strings.Contains(err.Error(), want) {
--- a/engines/cost_test.go
+++ b/engines/cost_test.go
@@ -118,14 +118,14 @@
 // fails if either exceeds its limit.
 func TestMemoryPerEngine(t *testing.T) {
 	for _, n := range costSizes[3:] {
-		got := heaptest.BytesEach(n, func() *engines.Registry { return newLoadedRegistry(n, 1000) })
+		got := heaptest.BytesPerItem(n, func() *engines.Registry { return newLoadedRegistry(n, 1000) })
 		t.Logf("%d engines: %.0f bytes each", n, got)
 		if got > 2048 {
 			t.Errorf("got %.0f bytes an engine of %d, want at most 2,048", got, n)
 		}
 	}
 	const chats = 8192
-	got := heaptest.BytesEach(chats, func() *engines.Registry {
+	got := heaptest.BytesPerItem(chats, func() *engines.Registry {
 		b := newLoadedRegistry(50, 1000)
 		for key := range uint64(chats) {
 			b.Choose(query(key+1), 1000)
--- a/engines/upstream/silent_test.go
+++ b/engines/upstream/silent_test.go
@@ -96,7 +96,7 @@
 	}
 	wg.Wait()
 	r.engine.SetReply(func(standin.Run) standin.Reply { return standin.Reply{Body: "x"} })
-	if got := r.link.Open(); got != n {
+	if got := r.link.OpenConns(); got != n {
 		t.Fatalf("got %d open connections, want %d", got, n)
 	}
 }
@@ -104,7 +104,7 @@
 // After a connection went silent, the idle ones that received no data since are closed, so
 // the next request uses none of them.
 func TestSilentConnectionClosesIdleOnes(t *testing.T) {
-	for _, way := range []linktest.Way{linktest.There, linktest.Back, linktest.Both} {
+	for _, way := range []linktest.Direction{linktest.ToTarget, linktest.FromTarget, linktest.Both} {
 		t.Run(string(way), func(t *testing.T) {
 			r := newRig(t)
 			r.keep(t, 3)
@@ -138,7 +138,7 @@
 		cancel()
 		<-done
 	})
-	for r.link.Lost() == 0 {
+	for r.link.DroppedChunks() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep((2 * soon).Duration())
--- a/engines/upstream/suspend_test.go
+++ b/engines/upstream/suspend_test.go
@@ -15,7 +15,7 @@
 // callback after the suspension, and a request could take one before it ran. There is no
 // callback here, so the tests pass only if the pool checks each connection that it takes.
 
-func newSuspendedRig(t *testing.T) (*rig, *clocktest.Hands) {
+func newSuspendedRig(t *testing.T) (*rig, *clocktest.Source) {
 	t.Helper()
 	h := clocktest.New()
 	return newRigOn(t, clock.New(h)), h
@@ -73,7 +73,7 @@
 func TestClockChangeKeepsConnections(t *testing.T) {
 	r, h := newSuspendedRig(t)
 	r.keep(t, 1)
-	h.Set(time.Hour)
+	h.StepWallTime(time.Hour)
 	if err := r.do("after", late); err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/member/member_test.go
+++ b/fleet/member/member_test.go
@@ -127,7 +127,7 @@
 
 func TestMemoryPerInstance(t *testing.T) {
 	const n = 3300
-	used := heaptest.BytesEach(n, func() *member.View {
+	used := heaptest.BytesPerItem(n, func() *member.View {
 		v := member.NewView("me", 0)
 		for i := range n {
 			in := instance(fmt.Sprint("daemon-", i))
--- a/fleet/once/bench_test.go
+++ b/fleet/once/bench_test.go
@@ -11,7 +11,7 @@
 
 // fillWitness fills a witness with n keys and returns the bytes that it needs for each.
 func fillWitness(n int) float64 {
-	return heaptest.BytesEach(n, func() *once.Witness {
+	return heaptest.BytesPerItem(n, func() *once.Witness {
 		w := once.NewWitness(0, 1_000_000, n)
 		for i := range uint64(n) {
 			w.Claim(wire.Claim{Key: i + 1, Attempt: i + 1, Window: 600_000}, 700_000, 1_700_000)
--- a/fleet/source/client_test.go
+++ b/fleet/source/client_test.go
@@ -31,7 +31,7 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
 	defer srv.Close()
 	link := linktest.New(t, strings.TrimPrefix(srv.URL, "http://"))
-	link.Pace(size / 6)
+	link.SetRate(size / 6)
 	got, err := source.New("http://"+link.Addr(), clock.System()).Changes(t.Context(), source.Config, 0, 0)
 	if err != nil || len(got.Items) != 1 || len(got.Items[0].Value) != size {
 		t.Errorf("got %d items, %v, want the whole batch", len(got.Items), err)
@@ -53,7 +53,7 @@
 	if _, err := c.Changes(t.Context(), source.Config, 0, 0); err != nil {
 		t.Fatal(err)
 	}
-	link.Silence(linktest.Back)
+	link.Silence(linktest.FromTarget)
 	hands.Suspend(time.Minute)
 	if _, err := c.Changes(t.Context(), source.Config, 0, 0); err != nil {
 		t.Errorf("got %v after a suspension, want an answer", err)
@@ -64,7 +64,7 @@
 }
 
 func TestAnErrorNamesTheLimitOfABatch(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(source.MaxResponse))
+	srv := httptest.NewServer(largetest.OverLimit(source.MaxResponse))
 	defer srv.Close()
 	_, err := source.New(srv.URL, clock.System()).Changes(t.Context(), source.Config, 0, 0)
 	if want := strconv.Itoa(source.MaxResponse); !errors.Is(err, whole.ErrTooLarge) || !strings.Contains(err.Error(), want) {
--- a/internal/clocktest/hands.go
+++ b/internal/clocktest/hands.go
@@ -9,8 +9,8 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Hands go with the machine's, apart from what a test moves.
-type Hands struct {
+// Source go with the machine's, apart from what a test moves.
+type Source struct {
 	start time.Time
 
 	mu sync.Mutex
@@ -21,38 +21,38 @@
 	boots  int
 }
 
-var _ clock.Source = (*Hands)(nil)
+var _ clock.Source = (*Source)(nil)
 
 // New returns hands that nothing has moved.
-func New() *Hands { return &Hands{start: time.Now()} }
+func New() *Source { return &Source{start: time.Now()} }
 
-// WithoutBoot returns hands of an instance that does not tell the time since its boot.
-func WithoutBoot() *Hands { return &Hands{start: time.Now(), noBoot: true} }
+// NewWithoutBootTime returns hands of an instance that does not tell the time since its boot.
+func NewWithoutBootTime() *Source { return &Source{start: time.Now(), noBoot: true} }
 
 // Suspend makes the instance have been suspended for d: all but the steady time, and the
 // timers, went on.
-func (h *Hands) Suspend(d time.Duration) { h.Move(d, 0) }
+func (h *Source) Suspend(d time.Duration) { h.SuspendAndStep(d, 0) }
 
-// Set moves the time of day by d.
-func (h *Hands) Set(d time.Duration) { h.Move(0, d) }
+// StepWallTime moves the time of day by d.
+func (h *Source) StepWallTime(d time.Duration) { h.SuspendAndStep(0, d) }
 
-// Move does both at the same moment.
-func (h *Hands) Move(suspended, set time.Duration) {
+// SuspendAndStep does both at the same moment.
+func (h *Source) SuspendAndStep(suspended, set time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.suspended += suspended
 	h.set += set
 }
 
-// Boots returns how often the time since the boot was read.
-func (h *Hands) Boots() int {
+// BootTimeReads returns how often the time since the boot was read.
+func (h *Source) BootTimeReads() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.boots
 }
 
 // Read implements clock.Source.
-func (h *Hands) Read() (steady, day time.Duration) {
+func (h *Source) Read() (steady, day time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	steady = time.Since(h.start)
@@ -60,7 +60,7 @@
 }
 
 // SinceBoot implements clock.Source.
-func (h *Hands) SinceBoot() (time.Duration, bool) {
+func (h *Source) SinceBoot() (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.boots++
--- a/internal/clocktest/process.go
+++ b/internal/clocktest/process.go
@@ -16,14 +16,14 @@
 // as suspended so far.
 const SuspensionsEnv = "WELDFALL_TEST_SUSPENSIONS"
 
-// Resumed is the signal on which such a process reads the file. One that does not know of
+// ResumeSignal is the signal on which such a process reads the file. One that does not know of
 // it is not ended by it.
-const Resumed = syscall.SIGWINCH
+const ResumeSignal = syscall.SIGWINCH
 
-// Suspensions makes the clocks of this process leave out what the file of SuspensionsEnv
+// SimulateSuspensions makes the clocks of this process leave out what the file of SuspensionsEnv
 // says, if that is set, as the steady clock of an instance does that was suspended.
 // Stopped for as long by a signal the process has been indeed, but its timers went on.
-func Suspensions() {
+func SimulateSuspensions() {
 	path := os.Getenv(SuspensionsEnv)
 	if path == "" {
 		return
@@ -32,7 +32,7 @@
 	h.read()
 	h.before = h.out.Load()
 	resumed := make(chan os.Signal, 1)
-	signal.Notify(resumed, Resumed)
+	signal.Notify(resumed, ResumeSignal)
 	go func() {
 		for range resumed {
 			h.read()
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -32,7 +32,7 @@
 // Start has started, and the tests otherwise.
 func Main(m *testing.M) {
 	if os.Getenv(MainEnv) != "" {
-		clocktest.Suspensions()
+		clocktest.SimulateSuspensions()
 		os.Exit(commands.Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
--- a/internal/heaptest/heaptest.go
+++ b/internal/heaptest/heaptest.go
@@ -3,9 +3,9 @@
 
 import "runtime"
 
-// BytesEach returns the heap bytes that the value returned by build costs,
+// BytesPerItem returns the heap bytes that the value returned by build costs,
 // divided by n.
-func BytesEach[T any](n int, build func() T) float64 {
+func BytesPerItem[T any](n int, build func() T) float64 {
 	before := inUse()
 	v := build()
 	used := float64(inUse()-before) / float64(n)
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -57,9 +57,9 @@
 	return entries, nil
 }
 
-// Skip returns the pattern for the flag -skip of go test that passes over the tests of the
+// SkipPattern returns the pattern for the flag -skip of go test that passes over the tests of the
 // list, "" if it names none.
-func Skip(entries []Entry) string {
+func SkipPattern(entries []Entry) string {
 	var patterns []string
 	for _, e := range entries {
 		if e.IsTest() {
--- a/internal/knownred/knownred/main.go
+++ b/internal/knownred/knownred/main.go
@@ -32,7 +32,7 @@
 	}
 	switch args[0] {
 	case "skip":
-		fmt.Println(knownred.Skip(entries))
+		fmt.Println(knownred.SkipPattern(entries))
 	case "tests":
 		for _, e := range entries {
 			if e.IsTest() {
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -32,7 +32,7 @@
 	if got, want := strings.Join(rest, "; "), "vigia, a day; FuzzThree"; got != want {
 		t.Errorf("got other cases %q, want %q", got, want)
 	}
-	if got, want := knownred.Skip(entries), `^TestOne$|^TestTwo$/^part_\(a\.b\)$`; got != want {
+	if got, want := knownred.SkipPattern(entries), `^TestOne$|^TestTwo$/^part_\(a\.b\)$`; got != want {
 		t.Errorf("got pattern %q, want %q", got, want)
 	}
 }
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := knownred.Skip(entries), "^TestOne$/^b$"; got != want {
+	if got, want := knownred.SkipPattern(entries), "^TestOne$/^b$"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/largetest/largetest.go
+++ b/internal/largetest/largetest.go
@@ -10,8 +10,8 @@
 // pieceBytes is the size of what is written at once.
 const pieceBytes = 1 << 20
 
-// Over answers with one byte more of blanks than a limit in bytes.
-func Over(limit int) http.Handler {
+// OverLimit answers with one byte more of blanks than a limit in bytes.
+func OverLimit(limit int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(limit+1))
 		piece := []byte(strings.Repeat(" ", pieceBytes))
--- a/internal/linktest/linktest.go
+++ b/internal/linktest/linktest.go
@@ -8,13 +8,13 @@
 	"github.com/weldfall/weldfall/internal/proxy"
 )
 
-// Way is the way that bytes go on a connection.
-type Way = proxy.Way
+// Direction is the way that bytes go on a connection.
+type Direction = proxy.Direction
 
 // The ways of a connection: from the end that dialed, to it, and both.
 const (
-	There = proxy.There
-	Back  = proxy.Back
+	ToTarget = proxy.ToTarget
+	FromTarget  = proxy.FromTarget
 	Both  = proxy.Both
 )
 
@@ -33,4 +33,4 @@
 }
 
 // Silence makes the connections that are open now silent.
-func (l *Link) Silence(w Way) { l.Link.Silence(w, math.MaxInt) }
+func (l *Link) Silence(w Direction) { l.Link.Silence(w, math.MaxInt) }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -12,53 +12,53 @@
 	"time"
 )
 
-// Way is the way that bytes go on a connection.
-type Way string
+// Direction is the way that bytes go on a connection.
+type Direction string
 
 const (
-	// There is from the end that dialed, Back is to it.
-	There Way = "there"
-	Back  Way = "back"
-	Both  Way = "both"
+	// ToTarget is from the end that dialed, Back is to it.
+	ToTarget Direction = "there"
+	FromTarget  Direction = "back"
+	Both  Direction = "both"
 )
 
 // covers reports whether w is one way or both of which the other is one.
-func (w Way) covers(one Way) bool { return w == Both || w == one }
+func (w Direction) covers(one Direction) bool { return w == Both || w == one }
 
 // back returns the opposite of There or Back.
-func (w Way) back() Way {
-	if w == There {
-		return Back
+func (w Direction) back() Direction {
+	if w == ToTarget {
+		return FromTarget
 	}
-	return There
+	return ToTarget
 }
 
 // Fault is what a link does to all that it carries, for as long as it lasts.
 type Fault string
 
 const (
-	// Sound passes everything on.
-	Sound Fault = "sound"
+	// NoFault passes everything on.
+	NoFault Fault = "sound"
 	// Delayed passes everything on late.
 	Delayed Fault = "delayed"
 	// Cut drops what goes either way, DeafTo what goes to the dialed end, and
 	// DeafFrom what comes back. Connections stay open and silent.
 	Cut      Fault = "cut"
-	DeafTo   Fault = "deaf_to"
-	DeafFrom Fault = "deaf_from"
+	DropToTarget   Fault = "deaf_to"
+	DropFromTarget Fault = "deaf_from"
 	// Resets closes all connections, and new ones as they come.
 	Resets Fault = "resets"
 )
 
-// Drops returns the way on which a fault drops what goes, "" if it drops nothing.
-func (f Fault) Drops() Way {
+// DroppedDirection returns the way on which a fault drops what goes, "" if it drops nothing.
+func (f Fault) DroppedDirection() Direction {
 	switch f {
 	case Cut:
 		return Both
-	case DeafTo:
-		return There
-	case DeafFrom:
-		return Back
+	case DropToTarget:
+		return ToTarget
+	case DropFromTarget:
+		return FromTarget
 	}
 	return ""
 }
@@ -101,9 +101,9 @@
 	near, far *net.TCPConn
 	// silent is the way on which bytes and the end are dropped for good, "" for
 	// none.
-	silent Way
+	silent Direction
 	// ended has the ways on which the sending end has closed.
-	ended map[Way]bool
+	ended map[Direction]bool
 	// lost is true once a fault dropped bytes.
 	lost bool
 }
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{ln: ln, target: target, fault: Sound, open: map[*pair]bool{}}
+	l := &Link{ln: ln, target: target, fault: NoFault, open: map[*pair]bool{}}
 	go l.accept()
 	return l, nil
 }
@@ -122,9 +122,9 @@
 // Addr returns host:port of the near end.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Set changes what the link does. Connections that lost bytes are reset when the fault that
+// SetFault changes what the link does. Connections that lost bytes are reset when the fault that
 // took them is over: what came after the bytes that are missing would follow on those before.
-func (l *Link) Set(f Fault) {
+func (l *Link) SetFault(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	over := f != l.fault
@@ -137,7 +137,7 @@
 }
 
 // Silence makes up to so many of the open connections that are not silent so on a way.
-func (l *Link) Silence(w Way, most int) {
+func (l *Link) Silence(w Direction, most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.open {
@@ -151,23 +151,23 @@
 	}
 }
 
-// Pace bounds how many bytes a second the link carries back, over all its
+// SetRate bounds how many bytes a second the link carries back, over all its
 // connections.
-func (l *Link) Pace(bytes int) {
+func (l *Link) SetRate(bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pace = bytes
 }
 
-// Back returns how many bytes the link carried back.
-func (l *Link) Back() int64 {
+// BytesFromTarget returns how many bytes the link carried back.
+func (l *Link) BytesFromTarget() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.back
 }
 
-// Open returns how many connections are open at either end.
-func (l *Link) Open() int {
+// OpenConns returns how many connections are open at either end.
+func (l *Link) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
@@ -180,20 +180,20 @@
 	return l.dials
 }
 
-// Lost returns how many pieces were dropped on their way there.
-func (l *Link) Lost() int {
+// DroppedChunks returns how many pieces were dropped on their way there.
+func (l *Link) DroppedChunks() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lost
 }
 
-// Kept returns how many silent connections the far end still keeps open.
-func (l *Link) Kept() int {
+// HalfOpenConns returns how many silent connections the far end still keeps open.
+func (l *Link) HalfOpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for p := range l.open {
-		if p.silent.covers(There) && !p.ended[Back] {
+		if p.silent.covers(ToTarget) && !p.ended[FromTarget] {
 			n++
 		}
 	}
@@ -203,7 +203,7 @@
 // Close ends the link and its connections.
 func (l *Link) Close() {
 	_ = l.ln.Close()
-	l.Set(Resets)
+	l.SetFault(Resets)
 }
 
 func (l *Link) accept() {
@@ -224,7 +224,7 @@
 		_ = near.Close()
 		return
 	}
-	p := &pair{near: near, far: far.(*net.TCPConn), ended: map[Way]bool{}}
+	p := &pair{near: near, far: far.(*net.TCPConn), ended: map[Direction]bool{}}
 	// What waits in the kernel is not on the link: a slow link holds little.
 	_ = p.near.SetWriteBuffer(bufferBytes)
 	_ = p.far.SetReadBuffer(bufferBytes)
@@ -237,8 +237,8 @@
 	l.open[p] = true
 	l.dials++
 	l.mu.Unlock()
-	go l.pump(p, There, p.near, p.far)
-	go l.pump(p, Back, p.far, p.near)
+	go l.pump(p, ToTarget, p.near, p.far)
+	go l.pump(p, FromTarget, p.far, p.near)
 }
 
 func (p *pair) close() { _, _ = p.near.Close(), p.far.Close() }
@@ -253,11 +253,11 @@
 
 // pump copies one way until the sending end closes or resets, and then tells the other
 // end so unless the way is silent.
-func (l *Link) pump(p *pair, w Way, from, to *net.TCPConn) {
+func (l *Link) pump(p *pair, w Direction, from, to *net.TCPConn) {
 	buf := make([]byte, pieceBytes)
 	for {
 		n, err := from.Read(buf)
-		if w == Back {
+		if w == FromTarget {
 			l.carryBack(n)
 		}
 		drop, late := l.took(p, w, n)
@@ -295,17 +295,17 @@
 }
 
 // took counts a piece of n bytes and reports whether it is dropped, or late.
-func (l *Link) took(p *pair, w Way, n int) (drop, late bool) {
+func (l *Link) took(p *pair, w Direction, n int) (drop, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n == 0 {
 		return false, false
 	}
-	if l.fault.Drops().covers(w) {
+	if l.fault.DroppedDirection().covers(w) {
 		p.lost, drop = true, true
 	}
 	drop = drop || p.silent.covers(w)
-	if drop && w == There {
+	if drop && w == ToTarget {
 		l.lost++
 	}
 	return drop, l.fault == Delayed && !drop
@@ -319,17 +319,17 @@
 	return p.lost
 }
 
-func (l *Link) isSilent(p *pair, w Way) bool {
+func (l *Link) isSilent(p *pair, w Direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return p.silent.covers(w)
 }
 
 // end takes the end of what is sent one way.
-func (l *Link) end(p *pair, w Way, to *net.TCPConn) {
+func (l *Link) end(p *pair, w Direction, to *net.TCPConn) {
 	l.mu.Lock()
 	p.ended[w] = true
-	silent, both := p.silent.covers(w), p.ended[There] && p.ended[Back]
+	silent, both := p.silent.covers(w), p.ended[ToTarget] && p.ended[FromTarget]
 	if both {
 		delete(l.open, p)
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestSilentConnectionsStaySilentAndNewOnesWork(t *testing.T) {
-	for _, way := range []proxy.Way{proxy.Both, proxy.There, proxy.Back} {
+	for _, way := range []proxy.Direction{proxy.Both, proxy.ToTarget, proxy.FromTarget} {
 		t.Run(string(way), func(t *testing.T) {
 			t.Parallel()
 			l, err := proxy.New(echo(t))
@@ -88,13 +88,13 @@
 			_ = sound.Close()
 			_ = silent.Close()
 			left := 0
-			if way != proxy.Back {
+			if way != proxy.FromTarget {
 				// The end that was dialled does not hear of the close.
 				left = 1
 			}
-			for end := time.Now().Add(2 * time.Second); l.Open() != left; time.Sleep(10 * time.Millisecond) {
+			for end := time.Now().Add(2 * time.Second); l.OpenConns() != left; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("got %d connections open at the link, want %d", l.Open(), left)
+					t.Fatalf("got %d connections open at the link, want %d", l.OpenConns(), left)
 				}
 			}
 		})
@@ -121,16 +121,16 @@
 // What a fault drops is lost, and the connection ends with the fault: a link that
 // carried the rest would make another stream of it.
 func TestAFaultEndsTheConnectionsThatLostBytes(t *testing.T) {
-	for _, f := range []proxy.Fault{proxy.Cut, proxy.DeafTo, proxy.DeafFrom} {
-		for _, next := range []proxy.Fault{proxy.Sound, proxy.Delayed, proxy.Resets} {
+	for _, f := range []proxy.Fault{proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget} {
+		for _, next := range []proxy.Fault{proxy.NoFault, proxy.Delayed, proxy.Resets} {
 			t.Run(string(f+" "+next), func(t *testing.T) {
 				t.Parallel()
 				l, c := newLink(t)
-				l.Set(f)
+				l.SetFault(f)
 				if back, ended := echoed(c); back || ended {
 					t.Errorf("got back %v, ended %v, want neither", back, ended)
 				}
-				l.Set(next)
+				l.SetFault(next)
 				_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 				if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("got %v after bytes were lost, want the end", err)
@@ -142,14 +142,14 @@
 
 func TestAFaultThatDropsNothingKeepsConnections(t *testing.T) {
 	l, c := newLink(t)
-	l.Set(proxy.Cut)
-	l.Set(proxy.Sound)
+	l.SetFault(proxy.Cut)
+	l.SetFault(proxy.NoFault)
 	checkSound(t, c)
 }
 
 func TestAResetEndsOpenConnectionsAndNewOnes(t *testing.T) {
 	l, c := newLink(t)
-	l.Set(proxy.Resets)
+	l.SetFault(proxy.Resets)
 	if _, ended := echoed(c); !ended {
 		t.Error("got an open connection, want its end")
 	}
@@ -207,10 +207,10 @@
 	}{
 		"closed by the far end": {way: "e", whole: true},
 		"reset by the far end":  {way: "r"},
-		"reset by the link":     {way: "w", end: func() { l.Set(proxy.Resets) }},
+		"reset by the link":     {way: "w", end: func() { l.SetFault(proxy.Resets) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l.Set(proxy.Sound)
+			l.SetFault(proxy.NoFault)
 			c, err := net.Dial("tcp", l.Addr())
 			if err != nil {
 				t.Fatal(err)
@@ -257,7 +257,7 @@
 	if _, err := io.ReadFull(near, got); err != nil {
 		t.Fatal(err)
 	}
-	l.Set(proxy.DeafFrom)
+	l.SetFault(proxy.DropFromTarget)
 	if _, err := io.WriteString(far, "lost"); err != nil {
 		t.Fatal(err)
 	}
--- a/link/silent_test.go
+++ b/link/silent_test.go
@@ -40,7 +40,7 @@
 
 // The end of a silent connection is not reported, so the server must close it by itself.
 func TestAServerClosesASilentConnection(t *testing.T) {
-	for _, way := range []linktest.Way{linktest.There, linktest.Both} {
+	for _, way := range []linktest.Direction{linktest.ToTarget, linktest.Both} {
 		t.Run(string(way), func(t *testing.T) {
 			t.Parallel()
 			l := linktest.New(t, startServer(t))
@@ -52,7 +52,7 @@
 			}
 			l.Silence(way)
 			c.Close()
-			wait(t, "end of the silent connection at the server", func() bool { return l.Kept() == 0 })
+			wait(t, "end of the silent connection at the server", func() bool { return l.HalfOpenConns() == 0 })
 		})
 	}
 }
--- a/measure/soak/copies.go
+++ b/measure/soak/copies.go
@@ -82,7 +82,7 @@
 	g.suspended += d
 	// A file that cannot be written makes it a pause.
 	_ = os.WriteFile(g.suspensions(), []byte(strconv.FormatInt(g.suspended.Milliseconds(), 10)), 0o600)
-	g.signal(clocktest.Resumed)
+	g.signal(clocktest.ResumeSignal)
 	g.signal(syscall.SIGCONT)
 }
 
--- a/measure/soak/hush.go
+++ b/measure/soak/hush.go
@@ -74,7 +74,7 @@
 		w.rec.hushes = append(w.rec.hushes, span{from, time.Now()})
 	}()
 	if s.How == hushConns {
-		w.gates[s.Who%len(w.gates)].store.Silence(proxy.Cut.Drops(), whoMost)
+		w.gates[s.Who%len(w.gates)].store.Silence(proxy.Cut.DroppedDirection(), whoMost)
 		return
 	}
 	end := from.Add(s.For)
--- a/measure/soak/play.go
+++ b/measure/soak/play.go
@@ -104,9 +104,9 @@
 	case Series:
 		w.stopSeries(s)
 	case SilentStore:
-		g.store.Silence(proxy.Fault(s.How).Drops(), s.Many)
+		g.store.Silence(proxy.Fault(s.How).DroppedDirection(), s.Many)
 	case SilentEngine:
-		l.Silence(proxy.Fault(s.How).Drops(), s.Many)
+		l.Silence(proxy.Fault(s.How).DroppedDirection(), s.Many)
 	case Hush:
 		w.hush(s)
 	case Copy:
@@ -128,13 +128,13 @@
 	case Compact:
 		w.store.Compact()
 	case StoreLink:
-		g.store.Set(proxy.Fault(s.How))
+		g.store.SetFault(proxy.Fault(s.How))
 		time.Sleep(s.For)
-		g.store.Set(proxy.Sound)
+		g.store.SetFault(proxy.NoFault)
 	case EngineLink:
-		l.Set(proxy.Fault(s.How))
+		l.SetFault(proxy.Fault(s.How))
 		time.Sleep(s.For)
-		l.Set(proxy.Sound)
+		l.SetFault(proxy.NoFault)
 	case Engine:
 		e.SetReply(w.behave(s.How))
 		time.Sleep(s.For)
@@ -159,10 +159,10 @@
 	case Foreign:
 		w.foreign(i, s)
 	case Revoke:
-		g.store.Set(proxy.Cut)
+		g.store.SetFault(proxy.Cut)
 		w.revoke()
 		time.Sleep(s.For)
-		g.store.Set(proxy.Sound)
+		g.store.SetFault(proxy.NoFault)
 	}
 }
 
--- a/measure/soak/process.go
+++ b/measure/soak/process.go
@@ -50,7 +50,7 @@
 	}
 	boot := standin.Boot{Revocation: revocation, RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: retryWindow, Leaving: rec.leaving}
 	if cfg.Play == Growing {
-		l.Pace(slowLink)
+		l.SetRate(slowLink)
 		boot.LinkMbps, boot.Change = slowLink/bytesPerMegabit, changeBound
 	}
 	var addrs []string
--- a/measure/soak/schedule.go
+++ b/measure/soak/schedule.go
@@ -144,9 +144,9 @@
 
 var (
 	storeFaults = []standin.Fault{standin.Busy, standin.Limited, standin.Reset, standin.Silent, standin.Nonsense, standin.Deaf, standin.Mute}
-	linkFaults  = []proxy.Fault{proxy.Delayed, proxy.Cut, proxy.DeafTo, proxy.DeafFrom, proxy.Resets}
+	linkFaults  = []proxy.Fault{proxy.Delayed, proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget, proxy.Resets}
 	commonWays  = []string{"refuse", "reset", "error"}
-	silences    = []proxy.Fault{proxy.Cut, proxy.DeafTo, proxy.DeafFrom}
+	silences    = []proxy.Fault{proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget}
 	seriesWays  = []string{together, together, overlapping, inTurn}
 	engineWays  = []string{"refuse", "reset", "cut", "extra", "older", "unframed", "garbage", "slow", "error"}
 )
--- a/measure/soak/weldsoak/main.go
+++ b/measure/soak/weldsoak/main.go
@@ -41,7 +41,7 @@
 
 func main() {
 	if os.Getenv(mainEnv) != "" {
-		clocktest.Suspensions()
+		clocktest.SimulateSuspensions()
 		os.Exit(commands.Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	var a args
--- a/peers/silent_test.go
+++ b/peers/silent_test.go
@@ -56,7 +56,7 @@
 // When all connections between entries fall silent, each entry loses one request and then
 // uses new connections.
 func TestPeersRedialWhenAllConnectionsAreSilent(t *testing.T) {
-	for _, way := range []linktest.Way{linktest.There, linktest.Back, linktest.Both} {
+	for _, way := range []linktest.Direction{linktest.ToTarget, linktest.FromTarget, linktest.Both} {
 		t.Run(string(way), func(t *testing.T) {
 			t.Parallel()
 			const entries = 4
@@ -88,10 +88,10 @@
 			})
 			lost := 0
 			for _, l := range links {
-				lost += l.Lost()
+				lost += l.DroppedChunks()
 			}
 			t.Logf("%d rounds of %d entries took %v, %d requests were lost", rounds, entries, time.Since(at), lost)
-			if way != linktest.Back && lost > entries {
+			if way != linktest.FromTarget && lost > entries {
 				t.Errorf("got %d requests lost on silent connections, want at most one for each entry", lost)
 			}
 		})
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -332,7 +332,7 @@
 
 func TestAChatInTheBookCostsLittle(t *testing.T) {
 	cost := func(n int) float64 {
-		return heaptest.BytesEach(n, func() *route.CacheIndex {
+		return heaptest.BytesPerItem(n, func() *route.CacheIndex {
 			b := route.NewCacheIndex(1 << 40)
 			for i := range uint64(n) {
 				b.RecordTurn(i+1, 1000, 1)
--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -58,7 +58,7 @@
 
 func TestABranchCostsTheSameInALargeTree(t *testing.T) {
 	cost := func(n int) float64 {
-		return heaptest.BytesEach(n, func() *settings.Tree { return grow(n) })
+		return heaptest.BytesPerItem(n, func() *settings.Tree { return grow(n) })
 	}
 	small, large := cost(200), cost(12_000)
 	t.Logf("%.0f bytes a branch at 200, %.0f at 12,000", small, large)
