--- a/internal/linktest/linktest.go
+++ b/internal/linktest/linktest.go
@@ -13,9 +13,9 @@
 
 // The ways of a connection: from the end that dialed, to it, and both.
 const (
-	ToTarget = proxy.ToTarget
-	FromTarget  = proxy.FromTarget
-	Both  = proxy.Both
+	ToTarget   = proxy.ToTarget
+	FromTarget = proxy.FromTarget
+	Both       = proxy.Both
 )
 
 // Link passes connections on to an address.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -17,9 +17,9 @@
 
 const (
 	// ToTarget is from the end that dialed, Back is to it.
-	ToTarget Direction = "there"
-	FromTarget  Direction = "back"
-	Both  Direction = "both"
+	ToTarget   Direction = "there"
+	FromTarget Direction = "back"
+	Both       Direction = "both"
 )
 
 // covers reports whether w is one way or both of which the other is one.
@@ -43,7 +43,7 @@
 	Delayed Fault = "delayed"
 	// Cut drops what goes either way, DeafTo what goes to the dialed end, and
 	// DeafFrom what comes back. Connections stay open and silent.
-	Cut      Fault = "cut"
+	Cut            Fault = "cut"
 	DropToTarget   Fault = "deaf_to"
 	DropFromTarget Fault = "deaf_from"
 	// Resets closes all connections, and new ones as they come.
