--- a/commands/settings_test.go
+++ b/commands/settings_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestOversizedPageError(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(commands.MaxPageBytes))
+	srv := httptest.NewServer(largetest.OverLimit(commands.MaxPageBytes))
 	defer srv.Close()
 	var out, errOut bytes.Buffer
 	code := commands.Main([]string{"explain", "--from", srv.URL, "--path", "fleet"}, &out, &errOut)
--- a/common/clock/clock_test.go
+++ b/common/clock/clock_test.go
@@ -14,18 +14,18 @@
 // Now includes suspensions of the instance. Setting the wall time does not change it.
 func TestNowCountsSuspensions(t *testing.T) {
 	for name, tc := range map[string]struct {
-		move func(h *clocktest.Hands)
+		move func(h *clocktest.Source)
 		want clock.Millis
 	}{
-		"nothing":                        {func(*clocktest.Hands) {}, 0},
-		"a suspension":                   {func(h *clocktest.Hands) { h.Suspend(5 * time.Second) }, 5000},
-		"a short suspension":             {func(h *clocktest.Hands) { h.Suspend(100 * time.Millisecond) }, 100},
-		"wall time set forward":          {func(h *clocktest.Hands) { h.Set(5 * time.Second) }, 0},
-		"wall time set back":             {func(h *clocktest.Hands) { h.Set(-5 * time.Second) }, 0},
-		"both, forward":                  {func(h *clocktest.Hands) { h.Move(5*time.Second, time.Second) }, 5000},
-		"both, back":                     {func(h *clocktest.Hands) { h.Move(5*time.Second, -time.Hour) }, 5000},
-		"suspension, then wall time set": {func(h *clocktest.Hands) { h.Suspend(time.Second); h.Set(-time.Second) }, 1000},
-		"two suspensions":                {func(h *clocktest.Hands) { h.Suspend(time.Second); h.Suspend(2 * time.Second) }, 3000},
+		"nothing":                        {func(*clocktest.Source) {}, 0},
+		"a suspension":                   {func(h *clocktest.Source) { h.Suspend(5 * time.Second) }, 5000},
+		"a short suspension":             {func(h *clocktest.Source) { h.Suspend(100 * time.Millisecond) }, 100},
+		"wall time set forward":          {func(h *clocktest.Source) { h.StepWallTime(5 * time.Second) }, 0},
+		"wall time set back":             {func(h *clocktest.Source) { h.StepWallTime(-5 * time.Second) }, 0},
+		"both, forward":                  {func(h *clocktest.Source) { h.SuspendAndStep(5*time.Second, time.Second) }, 5000},
+		"both, back":                     {func(h *clocktest.Source) { h.SuspendAndStep(5*time.Second, -time.Hour) }, 5000},
+		"suspension, then wall time set": {func(h *clocktest.Source) { h.Suspend(time.Second); h.StepWallTime(-time.Second) }, 1000},
+		"two suspensions":                {func(h *clocktest.Source) { h.Suspend(time.Second); h.Suspend(2 * time.Second) }, 3000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -54,18 +54,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := clocktest.New()
 		c := clock.FromSource(h)
-		before, bootReads := c.Now(), h.Boots()
+		before, bootReads := c.Now(), h.BootTimeReads()
 		for range 1000 {
 			c.Now()
 		}
-		if got := h.Boots() - bootReads; got != 0 {
+		if got := h.BootTimeReads() - bootReads; got != 0 {
 			t.Errorf("got the time since the boot read %d times without a suspension, want 0", got)
 		}
 		h.Suspend(3 * time.Second)
 		if got := c.Now() - before; got != 3000 {
 			t.Errorf("got %d ms elapsed, want 3000", got)
 		}
-		h.Move(3*time.Second, -3*time.Second)
+		h.SuspendAndStep(3*time.Second, -3*time.Second)
 		c.CheckSuspended()
 		if got := c.Now() - before; got != 6000 {
 			t.Errorf("got %d ms elapsed after a check, want 6000", got)
@@ -77,7 +77,7 @@
 // Now must neither jump nor go back.
 func TestNowIgnoresWallTimeWithoutBootTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := clocktest.WithoutBoot()
+		h := clocktest.NewWithoutBootTime()
 		c := clock.FromSource(h)
 		before := c.Now()
 		h.Suspend(3 * time.Second)
@@ -90,7 +90,7 @@
 
 // hookedSource calls hook once, before it returns the time since the boot.
 type hookedSource struct {
-	*clocktest.Hands
+	*clocktest.Source
 	hook func()
 }
 
@@ -100,13 +100,13 @@
 		h.hook = nil
 		hook()
 	}
-	return h.Hands.SinceBoot()
+	return h.Source.SinceBoot()
 }
 
 // A reading while another goroutine determines the length of a suspension waits for the
 // result. It used to be possible to return the time from before the suspension.
 func TestConcurrentReadingIncludesSuspension(t *testing.T) {
-	h := &hookedSource{Hands: clocktest.New()}
+	h := &hookedSource{Source: clocktest.New()}
 	c := clock.FromSource(h)
 	before := c.Now()
 	other := make(chan [2]clock.Millis, 1)
@@ -143,7 +143,7 @@
 			if got := c.ResumedAt(); got != before+3000 {
 				t.Errorf("got a suspension that ended at %d, want %d", got, before+3000)
 			}
-			h.Set(time.Hour)
+			h.StepWallTime(time.Hour)
 			if got := c.ResumedAt(); got != before+3000 {
 				t.Errorf("got a suspension that ended at %d after the wall time was set, want %d", got, before+3000)
 			}
--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -59,7 +59,7 @@
 // The memory of a branch must not grow with the number of branches.
 func TestBranchMemoryIsIndependentOfTreeSize(t *testing.T) {
 	bytesPerBranch := func(n int) float64 {
-		return heaptest.BytesEach(n, func() *settings.Tree { return newTree(n) })
+		return heaptest.BytesPerItem(n, func() *settings.Tree { return newTree(n) })
 	}
 	small, large := bytesPerBranch(200), bytesPerBranch(12_000)
 	t.Logf("%.0f bytes per branch at 200, %.0f at 12,000", small, large)
