--- a/daemon/target/target_test.go
+++ b/daemon/target/target_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestTooLargeLoadReport(t *testing.T) {
-	srv := httptest.NewServer(largetest.Over(target.MaxControlResponse))
+	srv := httptest.NewServer(largetest.OverLimit(target.MaxControlResponse))
 	defer srv.Close()
 	_, err := target.New(srv.Listener.Addr().String()).Load(t.Context())
 	if want := strconv.Itoa(target.MaxControlResponse); !errors.Is(err, whole.ErrTooLarge) || !strings.Contains(err.Error(), want) {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -331,7 +331,7 @@
 
 func TestCacheIndexMemory(t *testing.T) {
 	bytesPerChat := func(n int) float64 {
-		return heaptest.BytesEach(n, func() *route.CacheIndex {
+		return heaptest.BytesPerItem(n, func() *route.CacheIndex {
 			b := route.NewCacheIndex(1 << 40)
 			for i := range uint64(n) {
 				b.RecordTurn(i+1, 1000, 1)
