--- a/common/framing/framing_test.go
+++ b/common/framing/framing_test.go
@@ -21,10 +21,10 @@
 		{"empty", "GET", "Content-Length: 0\r\n\r\n", framing.Length, framing.Complete},
 		{"chunks", "GET", "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", framing.Chunked, framing.Complete},
 		{"chunks without the last", "GET", "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", framing.Chunked, framing.Incomplete},
-		{"a chunk cut short", "GET", "Transfer-Encoding: chunked\r\n\r\n4\r\nbo", framing.Chunked, framing.Incomplete},
-		{"neither", "GET", "\r\nbody", framing.UntilClose, framing.Closed},
-		{"neither, and closing", "GET", "Connection: close\r\n\r\nbody", framing.UntilClose, framing.Closed},
-		{"neither, and no body", "HEAD", "\r\n", framing.Length, framing.Complete},
+		{"truncated chunk", "GET", "Transfer-Encoding: chunked\r\n\r\n4\r\nbo", framing.Chunked, framing.Incomplete},
+		{"until close", "GET", "\r\nbody", framing.UntilClose, framing.Closed},
+		{"until close, announced", "GET", "Connection: close\r\n\r\nbody", framing.UntilClose, framing.Closed},
+		{"no body", "HEAD", "\r\n", framing.Length, framing.Complete},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
