--- a/measure/soak/again.go
+++ b/measure/soak/again.go
@@ -12,80 +12,80 @@
 // Ways of an engine that starts again.
 const (
 	// clockOn and clockBack are what its clock did meanwhile.
-	clockOn   = "clock_on"
-	clockBack = "clock_back"
+	clockForward = "clock_on"
+	clockBack    = "clock_back"
 	// lateWord has the last word of its earlier life, that it leaves, come after the
 	// first of the later one.
-	lateWord = "late_word"
+	lateEntry = "late_word"
 	// leavesAgain has it say that it leaves before it starts again.
-	leavesAgain = "left_before"
+	drainsFirst = "left_before"
 )
 
 var (
-	againWays = []string{clockOn, clockBack, lateWord, lateWord, leavesAgain}
+	restartVariants = []string{clockForward, clockBack, lateEntry, lateEntry, drainsFirst}
 	// againGroups is how many engines start again: one, two or all.
-	againGroups = []int{1, 2, whoMost}
-	foreignWays = []string{"nothing", "no_json", "no_base64", "seq", "state", "capacity", "born"}
+	restartGroups   = []int{1, 2, maxIndex}
+	foreignVariants = []string{"nothing", "no_json", "no_base64", "seq", "state", "capacity", "born"}
 	// restartingKinds is drawn from in a restarting play.
-	restartingKinds = slices.Concat(mixedKinds, []Kind{Again, Again, Again, Again, Again, Foreign, Foreign, Foreign})
+	restartingKinds = slices.Concat(mixedKinds, []Kind{RestartEngines, RestartEngines, RestartEngines, RestartEngines, RestartEngines, ForeignEntry, ForeignEntry, ForeignEntry})
 )
 
 const (
 	// lateBy is how long after the first word of a later life one of the earlier life
 	// may come.
-	lateBy = 100 * time.Millisecond
+	lateEntryDelay = 100 * time.Millisecond
 	// backBy is how far the clock of an engine is set back.
-	backBy = time.Hour
+	clockSetBack = time.Hour
 )
 
 // startAgain makes engines crash and start again, one after the other.
-func (w *world) startAgain(s Step) {
+func (w *deployment) restartEngines(s Step) {
 	w.mu.Lock()
 	n := len(w.engines)
 	w.mu.Unlock()
 	var wg sync.WaitGroup
-	for k := range min(s.Many, n) {
-		wg.Go(func() { w.startOneAgain((s.Who+k)%n, s.How) })
-		time.Sleep(min(s.For/time.Duration(n), lateBy))
+	for k := range min(s.Count, n) {
+		wg.Go(func() { w.restartEngine((s.Index+k)%n, s.Variant) })
+		time.Sleep(min(s.Duration/time.Duration(n), lateEntryDelay))
 	}
 	wg.Wait()
 }
 
-func (w *world) startOneAgain(i int, how string) {
+func (w *deployment) restartEngine(i int, how string) {
 	w.mu.Lock()
 	e := w.engines[i]
 	earlier := e.Entry(w.services[i], "draining")
 	earlier["address"] = w.links[i].Addr()
 	by := time.Second
 	if how == clockBack {
-		by = -backBy
+		by = -clockSetBack
 	}
-	if how == leavesAgain {
+	if how == drainsFirst {
 		w.list(i, "draining")
 		w.mu.Unlock()
-		time.Sleep(lateBy)
+		time.Sleep(lateEntryDelay)
 		w.mu.Lock()
 	}
 	e.StartAgain(by)
 	w.list(i, "ready")
-	w.rec.again(e.ID())
+	w.rec.addRestart(e.ID())
 	w.mu.Unlock()
-	if how != lateWord {
+	if how != lateEntry {
 		return
 	}
-	time.Sleep(lateBy)
+	time.Sleep(lateEntryDelay)
 	w.store.Put("servers/"+e.ID(), earlier)
-	time.Sleep(lateBy)
+	time.Sleep(lateEntryDelay)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.list(i, "ready")
 }
 
 // again forgets that an engine left: that was its earlier life.
-func (r *record) again(id string) {
+func (r *record) addRestart(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.left, id)
+	delete(r.drainedAt, id)
 	r.restarted[id] = true
 }
 
@@ -93,18 +93,18 @@
 	// usedWithin is the end of a run in which an engine that started again must be
 	// used, if its service has at least usedOf runs then: by chance one of twelve
 	// engines is left out by as many once in 4,000,000 runs.
-	usedWithin = 5 * time.Second
-	usedOf     = 175
+	restartUseWindow  = 5 * time.Second
+	restartUseMinRuns = 175
 )
 
 // behave returns how an engine answers. In a restarting or copying play engines of plain services
 // tell no load: with few requests an entry stays at the one that told it that it is idle,
 // and leaves others out that are idle too.
-func (w *world) behave(way string) func(standin.Run) standin.Reply {
+func (w *deployment) behave(way string) func(standin.Run) standin.Reply {
 	reply := behave(way)
 	switch w.cfg.Play {
 	case Ending:
-		return endsOn(w.cfg.Seed, reply)
+		return crashOn(w.cfg.Seed, reply)
 	case Restarting, Copying:
 	default:
 		return reply
@@ -121,7 +121,7 @@
 // judgeRestarted holds that engines of plain services that started again are used:
 // requests go by load there, and none is left out where none tells its own.
 func (r *record) judgeRestarted(engines []*standin.Engine, services []string) {
-	from := r.ended.Add(-usedWithin)
+	from := r.ended.Add(-restartUseWindow)
 	runs, all := map[string]int{}, 0
 	for i, e := range engines {
 		if services[i] != "api" {
@@ -135,16 +135,16 @@
 		}
 	}
 	for i, e := range engines {
-		if services[i] == "api" && r.restarted[e.ID()] && runs[e.ID()] == 0 && all >= usedOf {
-			r.breaks("%s started again and got none of the last %d requests of its service", e.ID(), all)
+		if services[i] == "api" && r.restarted[e.ID()] && runs[e.ID()] == 0 && all >= restartUseMinRuns {
+			r.addViolation("%s started again and got none of the last %d requests of its service", e.ID(), all)
 		}
 	}
 }
 
 // foreign lists an engine that nobody may use, and has such an entry stand in place
 // of another engine's for a while.
-func (w *world) foreign(i int, s Step) {
-	decoy, err := standin.NewEngine(fmt.Sprintf("i-decoy-%d-%d", s.At, s.Who), w.behave(""))
+func (w *deployment) foreign(i int, s Step) {
+	decoy, err := standin.NewEngine(fmt.Sprintf("i-decoy-%d-%d", s.Start, s.Index), w.behave(""))
 	if err != nil {
 		// Without it the run goes on.
 		return
@@ -154,12 +154,12 @@
 	w.rec.mu.Unlock()
 	w.mu.Lock()
 	service := w.services[i]
-	w.damage(decoy.ID(), decoy.Entry(service, "ready"), s.How)
+	w.damage(decoy.ID(), decoy.Entry(service, "ready"), s.Variant)
 	entry := w.engines[i].Entry(service, "ready")
 	entry["address"] = w.links[i].Addr()
-	w.damage(w.engines[i].ID(), entry, s.How)
+	w.damage(w.engines[i].ID(), entry, s.Variant)
 	w.mu.Unlock()
-	time.Sleep(s.For)
+	time.Sleep(s.Duration)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.list(i, w.rec.state(w.engines[i].ID()))
@@ -169,14 +169,14 @@
 func (r *record) state(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, left := r.left[id]; left {
+	if _, left := r.drainedAt[id]; left {
 		return "draining"
 	}
 	return "ready"
 }
 
 // damage writes an entry as another writer does.
-func (w *world) damage(id string, entry map[string]any, how string) {
+func (w *deployment) damage(id string, entry map[string]any, how string) {
 	key := "servers/" + id
 	switch how {
 	case "nothing":
--- a/measure/soak/copies.go
+++ b/measure/soak/copies.go
@@ -17,29 +17,29 @@
 	// long it is away, and rewrittenAfter when operators and engines write again what it
 	// lacks: some two seconds at most. Together they are longer than the bound for revoked
 	// keys.
-	copiedBefore   = 3 * time.Second
-	awayFor        = 600 * time.Millisecond
-	rewrittenAfter = 2300 * time.Millisecond
+	maxCopyAge       = 3 * time.Second
+	maxStoreDowntime = 600 * time.Millisecond
+	maxRewriteDelay  = 2300 * time.Millisecond
 )
 
 // copyingKinds is drawn from in a copying play: eras and suspensions come in series, beside
 // signals and cuts.
-var copyingKinds = slices.Concat(mixedKinds, []Kind{Copy, Copy, Suspend, Suspend, Suspend, Suspend, Publish, Leave, Join, Again})
+var copyingKinds = slices.Concat(mixedKinds, []Kind{RestoreStore, RestoreStore, Suspend, Suspend, Suspend, Suspend, PublishConfig, DrainEngine, AddEngine, RestartEngines})
 
 // comeBack has the store come back from a copy, and all that live write again. One of two
 // copies has a key that is taken away right after it was made, and a gate starts before
 // that is written again, mostly later than a revoked key may be accepted.
-func (w *world) comeBack(s Step) {
-	w.copying.Lock()
-	defer w.copying.Unlock()
+func (w *deployment) restoreStore(s Step) {
+	w.restoring.Lock()
+	defer w.restoring.Unlock()
 	if time.Now().After(w.quietFrom) {
 		// Keys would be in doubt until too late.
 		return
 	}
-	revokes := s.Who%2 == 0
-	before, after := s.For%copiedBefore, s.For%rewrittenAfter
+	revokes := s.Index%2 == 0
+	before, after := s.Duration%maxCopyAge, s.Duration%maxRewriteDelay
 	if revokes {
-		before, after = (before+copiedBefore)/2, (after+2*rewrittenAfter)/3
+		before, after = (before+maxCopyAge)/2, (after+2*maxRewriteDelay)/3
 	}
 	c := w.store.Copy()
 	if revokes {
@@ -47,14 +47,14 @@
 	}
 	time.Sleep(before)
 	w.store.SetFault(standin.Busy)
-	time.Sleep(before % awayFor)
+	time.Sleep(before % maxStoreDowntime)
 	w.store.ComeBack(c)
 	w.store.SetFault(standin.None)
 	if revokes {
-		w.wg.Go(func() { w.gates[s.Who%len(w.gates)].restart(syscall.SIGKILL, w.quietFrom) })
+		w.wg.Go(func() { w.gates[s.Index%len(w.gates)].restart(syscall.SIGKILL, w.quietFrom) })
 	}
 	time.Sleep(after)
-	w.publishAgain()
+	w.rewriteConfig()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, e := range w.engines {
@@ -63,7 +63,7 @@
 }
 
 // publishAgain writes the latest version of the config again.
-func (w *world) publishAgain() {
+func (w *deployment) rewriteConfig() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.putConfig()
@@ -81,10 +81,12 @@
 	time.Sleep(d)
 	g.suspended += d
 	// A file that cannot be written makes it a pause.
-	_ = os.WriteFile(g.suspensions(), []byte(strconv.FormatInt(g.suspended.Milliseconds(), 10)), 0o600)
+	_ = os.WriteFile(g.suspensionFile(), []byte(strconv.FormatInt(g.suspended.Milliseconds(), 10)), 0o600)
 	g.signal(clocktest.ResumeSignal)
 	g.signal(syscall.SIGCONT)
 }
 
 // suspensions is the file with what the gate was suspended for.
-func (g *gate) suspensions() string { return strings.TrimSuffix(g.boot, ".toml") + ".suspended" }
+func (g *gate) suspensionFile() string {
+	return strings.TrimSuffix(g.settingsFile, ".toml") + ".suspended"
+}
--- a/measure/soak/export_test.go
+++ b/measure/soak/export_test.go
@@ -38,15 +38,15 @@
 func JudgeCut(c CutAnswer, again ...time.Duration) (broken, excused int) {
 	const takes = 4600 * time.Millisecond
 	start := time.Now()
-	r := &record{stops: []stopped{{gate: 0, at: start, gone: start.Add(takes)}}}
+	r := &record{stops: []plannedStop{{gate: 0, signaledAt: start, exitedAt: start.Add(takes)}}}
 	for _, d := range again {
-		r.stops = append(r.stops, stopped{gate: 0, at: start.Add(d), gone: start.Add(d + takes)})
+		r.stops = append(r.stops, plannedStop{gate: 0, signaledAt: start.Add(d), exitedAt: start.Add(d + takes)})
 	}
 	if c.Until != 0 {
-		r.troubles = append(r.troubles, trouble{gate: c.TroubleGate, from: start.Add(c.Trouble), until: start.Add(c.Until)})
+		r.disturbances = append(r.disturbances, disturbance{gate: c.TroubleGate, from: start.Add(c.Trouble), until: start.Add(c.Until)})
 	}
-	r.judgeStop(asked{gate: c.Gate, id: "a", path: c.Path, sent: start.Add(c.Sent), ended: start.Add(c.Ended), whole: c.Whole, gaveUp: c.GaveUp})
-	return len(r.broken), r.excused
+	r.judgeStop(request{gate: c.Gate, id: "a", path: c.Path, sent: start.Add(c.Sent), ended: start.Add(c.Ended), complete: c.Whole, gaveUp: c.GaveUp})
+	return len(r.violations), r.excused
 }
 
 // EveryGate is a trouble that reaches all gates.
@@ -55,11 +55,11 @@
 // ReadMessage reads an answer as a caller on a plain socket does.
 func ReadMessage(answer, by string) (body string, end framing.Completeness, fault string) {
 	m := readMessage(bufio.NewReader(strings.NewReader(answer)), proto(by))
-	return string(m.body), m.end, m.fault
+	return string(m.body), m.ending, m.fault
 }
 
 // WantOf returns the whole answer to request a of a path.
-func WantOf(path string) string { return asked{id: "a", path: path}.want() }
+func WantOf(path string) string { return request{id: "a", path: path}.wantBody() }
 
 // EndedAnswer is an answer with status 200 to request a, 100 ms after it was sent if Took is
 // 0, and the one run of it. There is no trouble where Until is 0.
@@ -83,28 +83,28 @@
 // JudgeEnd returns the promises that the end of an answer breaks.
 func JudgeEnd(c EndedAnswer) []string {
 	start := time.Now()
-	a := asked{id: "a", path: cmp.Or(c.Path, "/unsafe/x"), by: proto(cmp.Or(c.By, "HTTP/1.1")), sent: start, status: http.StatusOK, end: c.End, signature: "sig-a", fault: c.Fault}
-	a.body = cmp.Or(c.Body, a.want())
-	a = a.done()
+	a := request{id: "a", path: cmp.Or(c.Path, "/unsafe/x"), proto: proto(cmp.Or(c.By, "HTTP/1.1")), sent: start, status: http.StatusOK, ending: c.End, signature: "sig-a", fault: c.Fault}
+	a.body = cmp.Or(c.Body, a.wantBody())
+	a = a.finish()
 	a.ended = start.Add(cmp.Or(c.Took, 100*time.Millisecond))
 	if c.Unsigned {
 		a.signature = ""
 	}
 	r := &record{}
 	if c.Until != 0 {
-		note := r.trouble
+		note := r.addDisturbance
 		if c.Late {
-			note = r.killedLate
+			note = r.addLateKill
 		}
-		note(trouble{kind: c.Trouble, gate: everyGate, from: start.Add(c.From), until: start.Add(c.Until)})
+		note(disturbance{kind: c.Trouble, gate: everyGate, from: start.Add(c.From), until: start.Add(c.Until)})
 	}
-	runs := []*standin.Run{{At: start, Ended: c.Ran, Sent: cmp.Or(c.Sent, len(a.want()))}}
+	runs := []*standin.Run{{At: start, Ended: c.Ran, Sent: cmp.Or(c.Sent, len(a.wantBody()))}}
 	if c.Before != "" {
 		runs = append(runs, &standin.Run{At: start.Add(-time.Millisecond), Framed: c.Before, Ended: framing.Incomplete})
 	}
-	r.judgeEnd(a, runs)
-	return r.broken
+	r.judgeCompleteness(a, runs)
+	return r.violations
 }
 
 // BreakWays are the ways in which engines break.
-var BreakWays = breakWays
+var BreakVariants = breakVariants
--- a/measure/soak/frames.go
+++ b/measure/soak/frames.go
@@ -37,15 +37,15 @@
 	header textproto.MIMEHeader
 	body   []byte
 	// end is how it ended by its own framing, and err why it is incomplete.
-	end framing.Completeness
-	err error
+	ending framing.Completeness
+	err    error
 	// fault is what the framing must not have, "" if it is sound.
 	fault string
 }
 
 // readMessage reads an answer to a request other than HEAD (RFC 9112, section 6.3).
 func readMessage(br *bufio.Reader, by proto) message {
-	m := message{end: framing.Incomplete}
+	m := message{ending: framing.Incomplete}
 	tr := textproto.NewReader(br)
 	line, err := tr.ReadLine()
 	if err != nil {
@@ -71,7 +71,7 @@
 		m.fault = fmt.Sprintf("transfer codings %q for HTTP/1.0", coding)
 	case len(coding) > 0:
 		m.body, m.err = readChunks(br, tr)
-		m.endsBy(framing.Complete)
+		m.setEnding(framing.Complete)
 	case len(lengths) > 0:
 		n, err := strconv.Atoi(lengths[0])
 		if err != nil {
@@ -81,17 +81,17 @@
 		m.body = make([]byte, n)
 		n, m.err = io.ReadFull(br, m.body)
 		m.body = m.body[:n]
-		m.endsBy(framing.Complete)
+		m.setEnding(framing.Complete)
 	default:
 		m.body, m.err = io.ReadAll(br)
-		m.endsBy(framing.Closed)
+		m.setEnding(framing.Closed)
 	}
 	return m
 }
 
-func (m *message) endsBy(end framing.Completeness) {
+func (m *message) setEnding(end framing.Completeness) {
 	if m.err == nil {
-		m.end = end
+		m.ending = end
 	}
 }
 
@@ -125,7 +125,7 @@
 }
 
 // askRaw sends a request over a connection of its own and reads the frames of the answer.
-func (w *world) askRaw(patience time.Duration, addr string, a asked) asked {
+func (w *deployment) sendRaw(patience time.Duration, addr string, a request) request {
 	req, err := w.request(addr, a)
 	if err != nil {
 		return a
@@ -142,13 +142,13 @@
 	if err := req.Write(&out); err != nil {
 		return a
 	}
-	text := strings.Replace(out.String(), " "+string(raw11)+"\r\n", " "+string(a.by)+"\r\n", 1)
+	text := strings.Replace(out.String(), " "+string(raw11)+"\r\n", " "+string(a.proto)+"\r\n", 1)
 	if _, err := io.WriteString(nc, text); err != nil {
 		a.gaveUp = timedOut(err)
 		return a
 	}
-	m := readMessage(bufio.NewReader(nc), a.by)
-	a.status, a.body, a.end, a.signature = m.status, string(m.body), m.end, standin.Signature(http.Header(m.header))
+	m := readMessage(bufio.NewReader(nc), a.proto)
+	a.status, a.body, a.ending, a.signature = m.status, string(m.body), m.ending, standin.Signature(http.Header(m.header))
 	a.gaveUp, a.fault = timedOut(m.err), m.fault
 	// The connection leaves no port behind that waits.
 	if t, ok := nc.(*net.TCPConn); ok {
--- a/measure/soak/frames_test.go
+++ b/measure/soak/frames_test.go
@@ -69,7 +69,7 @@
 		"closed told as incomplete":               {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed}, broken: 1},
 		"closed and another answer":               {answer: soak.EndedAnswer{End: framing.Complete, Ran: framing.Closed, Unsigned: true}, broken: 1},
 		"closed told as incomplete, late":         {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed, Took: 4000 * ms}},
-		"closed told as incomplete, engines' way": {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed, Trouble: soak.Break, Until: 200 * ms}, broken: 1},
+		"closed told as incomplete, engines' way": {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed, Trouble: soak.BreakResponses, Until: 200 * ms}, broken: 1},
 		"closed told as incomplete, link":         {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed, Trouble: soak.EngineLink, Until: 200 * ms}},
 		"a killed gate's end":                     {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Trouble: killed.Trouble, From: killed.From, Until: killed.Until}},
 		"the end of a gate killed at a stop":      {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Body: "for", Trouble: soak.Kill, From: killed.From, Until: killed.Until, Late: true}},
--- a/measure/soak/grow.go
+++ b/measure/soak/grow.go
@@ -24,43 +24,43 @@
 	changeSlack = 500 * time.Millisecond
 	// mostIdle makes settings of a megabyte, and mostGrowth is what one version adds
 	// at most.
-	mostIdle   = 12_500
-	mostGrowth = 6250
+	maxIdleRoutes = 12_500
+	maxGrowth     = 6250
 	// growEvery is the time between two versions at least, longer than one of a
 	// megabyte is on its way.
 	growEvery = 2 * time.Second
 )
 
 // growingKinds is what goes on besides versions that grow.
-var growingKinds = []Kind{Compact, Compact, SilentStore, Pause, Kill, Stop, Reload, Publish}
+var growingKinds = []Kind{Compact, Compact, SilentStoreConns, Pause, Kill, Stop, Reload, PublishConfig}
 
 // newGrowing draws versions that grow until there is no room, changes of them, and
 // some troubles, most of them of the way to the store.
 func newGrowing(rng *rand.Rand, length time.Duration) []Step {
 	var steps []Step
 	for at := time.Second; at < length-quiet; at += growEvery + time.Duration(rng.Int64N(int64(growEvery))) {
-		s := Step{At: at, Kind: Grow, Many: 1 + rng.IntN(mostGrowth)}
+		s := Step{Start: at, Kind: GrowConfig, Count: 1 + rng.IntN(maxGrowth)}
 		if rng.IntN(3) == 0 {
-			s.Many = 0
+			s.Count = 0
 		}
 		steps = append(steps, s)
 	}
 	for range 1 + rng.IntN(len(growingKinds)) {
-		s := Step{At: time.Duration(rng.Int64N(int64(length - quiet))), Kind: growingKinds[rng.IntN(len(growingKinds))], Who: rng.IntN(whoMost)}
-		s.For = shortestStep + time.Duration(rng.Int64N(int64(time.Second)))
-		if s.Kind == SilentStore {
-			s.How, s.Many = string(silences[rng.IntN(len(silences))]), 1+rng.IntN(mostSilent)
+		s := Step{Start: time.Duration(rng.Int64N(int64(length - quiet))), Kind: growingKinds[rng.IntN(len(growingKinds))], Index: rng.IntN(maxIndex)}
+		s.Duration = shortestStep + time.Duration(rng.Int64N(int64(time.Second)))
+		if s.Kind == SilentStoreConns {
+			s.Variant, s.Count = string(silences[rng.IntN(len(silences))]), 1+rng.IntN(maxSilentConns)
 		}
 		steps = append(steps, s)
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.Start - b.Start) })
 	return steps
 }
 
 // grow publishes a version with so many routes more.
-func (w *world) grow(by int) {
+func (w *deployment) grow(by int) {
 	w.mu.Lock()
-	w.idle = min(mostIdle, w.idle+by)
+	w.idle = min(maxIdleRoutes, w.idle+by)
 	w.mu.Unlock()
 	w.publish()
 }
@@ -69,17 +69,17 @@
 func (r *record) publish(version int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.published[version] = time.Now()
+	r.publishedAt[version] = time.Now()
 }
 
 // callVersions asks a gate for the routes of the newest version and the one before
 // until the run is over.
-func (w *world) callVersions(g int) {
-	w.callWith(callerPatience, library, func(n int) asked {
+func (w *deployment) callVersions(g int) {
+	w.callWith(callerPatience, library, func(n int) request {
 		w.mu.Lock()
 		version := max(1, w.version-n%2)
 		w.mu.Unlock()
-		return asked{gate: g, id: fmt.Sprintf("v%dn%d", g, n), path: standin.VersionPath(version) + "x", key: keyKept, sent: time.Now()}
+		return request{gate: g, id: fmt.Sprintf("v%dn%d", g, n), path: standin.VersionPath(version) + "x", key: keyKept, sent: time.Now()}
 	}, rand.New(rand.NewPCG(w.cfg.Seed, uint64(versionCallersFrom+g))))
 }
 
@@ -87,7 +87,7 @@
 const versionCallersFrom = 1 << 33
 
 // version returns the version whose route a request asked for, or false.
-func (a asked) version() (int, bool) {
+func (a request) version() (int, bool) {
 	rest, ok := strings.CutPrefix(a.path, "/v/")
 	if !ok {
 		return 0, false
@@ -99,21 +99,21 @@
 // judgeVersion holds a request for a version's own route against the bound for
 // changes: past it the route is served while it is there, and never again once it was
 // taken away. A gate that was in trouble may be late.
-func (r *record) judgeVersion(a asked) {
+func (r *record) judgeVersion(a request) {
 	v, ok := a.version()
-	if !ok || r.troubled(a) || slices.ContainsFunc(r.stops, func(s stopped) bool { return s.reaches(a) }) {
+	if !ok || r.disturbed(a) || slices.ContainsFunc(r.stops, func(s plannedStop) bool { return s.overlaps(a) }) {
 		return
 	}
 	late := func(version int) bool {
-		at, ok := r.published[version]
+		at, ok := r.publishedAt[version]
 		return ok && a.sent.After(at.Add(changeBound+changeSlack))
 	}
-	_, replaced := r.published[v+1]
-	replaced = replaced && r.published[v+1].Before(a.ended)
+	_, replaced := r.publishedAt[v+1]
+	replaced = replaced && r.publishedAt[v+1].Before(a.ended)
 	switch {
 	case a.status == http.StatusNotFound && late(v) && !replaced:
-		r.breaks("%s %s: gate %d did not know the route %v after it was published", a.path, a.id, a.gate, a.sent.Sub(r.published[v]))
+		r.addViolation("%s %s: gate %d did not know the route %v after it was published", a.path, a.id, a.gate, a.sent.Sub(r.publishedAt[v]))
 	case a.status == http.StatusOK && late(v+1):
-		r.breaks("%s %s: gate %d served the route %v after it was taken away", a.path, a.id, a.gate, a.sent.Sub(r.published[v+1]))
+		r.addViolation("%s %s: gate %d served the route %v after it was taken away", a.path, a.id, a.gate, a.sent.Sub(r.publishedAt[v+1]))
 	}
 }
--- a/measure/soak/hush.go
+++ b/measure/soak/hush.go
@@ -10,7 +10,7 @@
 )
 
 // Hush makes the store silent for a moment, or the connections of one gate to it for good.
-const Hush Kind = "hush"
+const SilenceStore Kind = "hush"
 
 // Hushing has a store that falls silent for a moment, again and again, while engines join
 // and leave.
@@ -18,78 +18,78 @@
 
 // How the connections fare in a silence.
 const (
-	hushOpen = "open"
+	silenceOnly = "open"
 	// hushCut cuts them as it begins, hushHalf half way and hushOften all the time.
-	hushCut   = "cut"
-	hushHalf  = "half"
-	hushOften = "often"
+	silenceCutAtStart    = "cut"
+	silenceCutHalfway    = "half"
+	silenceCutRepeatedly = "often"
 	// hushConns makes those of one gate silent for good, while new ones work.
-	hushConns = "connections"
+	silenceConns = "connections"
 )
 
 const (
 	// shortestHush and longestHush bound a silence, hushApart the time between two.
-	shortestHush = 100 * time.Millisecond
-	longestHush  = 1500 * time.Millisecond
-	hushApart    = 4 * time.Second
+	minStoreSilence = 100 * time.Millisecond
+	maxStoreSilence = 1500 * time.Millisecond
+	maxSilenceGap   = 4 * time.Second
 	// hushCutEvery lies between two cuts.
-	hushCutEvery = 130 * time.Millisecond
+	silenceCutPeriod = 130 * time.Millisecond
 	// hushSlack is how long beyond the bound for leaving engines requests may still reach
 	// one, counted anew from the end of each silence.
-	hushSlack = time.Second
+	silenceDrainSlack = time.Second
 )
 
 var (
-	hushWays = []string{hushOpen, hushCut, hushCut, hushHalf, hushOften, hushConns}
+	silenceVariants = []string{silenceOnly, silenceCutAtStart, silenceCutAtStart, silenceCutHalfway, silenceCutRepeatedly, silenceConns}
 	// hushingKinds is what goes on beside the silences.
-	hushingKinds = []Kind{Leave, Leave, Leave, Join, Join, Publish, Reload}
+	hushingKinds = []Kind{DrainEngine, DrainEngine, DrainEngine, AddEngine, AddEngine, PublishConfig, Reload}
 )
 
 // newHushing draws silences one after the other, and planned work beside them.
 func newHushing(rng *rand.Rand, length time.Duration) []Step {
 	var steps []Step
 	for at := time.Second; at < length-quiet; {
-		s := Step{At: at, Kind: Hush, How: hushWays[rng.IntN(len(hushWays))], Who: rng.IntN(whoMost)}
-		s.For = shortestHush + time.Duration(rng.Int64N(int64(longestHush-shortestHush)))
+		s := Step{Start: at, Kind: SilenceStore, Variant: silenceVariants[rng.IntN(len(silenceVariants))], Index: rng.IntN(maxIndex)}
+		s.Duration = minStoreSilence + time.Duration(rng.Int64N(int64(maxStoreSilence-minStoreSilence)))
 		steps = append(steps, s)
-		at += s.For + time.Duration(rng.Int64N(int64(hushApart)))
+		at += s.Duration + time.Duration(rng.Int64N(int64(maxSilenceGap)))
 	}
-	for range int(length/time.Second)*stepsPerSecond/10 + 1 {
+	for range int(length/time.Second)*stepsPerTenSeconds/10 + 1 {
 		at := time.Duration(rng.Int64N(int64(length - quiet)))
-		steps = append(steps, Step{At: at, Kind: hushingKinds[rng.IntN(len(hushingKinds))], Who: rng.IntN(whoMost)})
+		steps = append(steps, Step{Start: at, Kind: hushingKinds[rng.IntN(len(hushingKinds))], Index: rng.IntN(maxIndex)})
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.Start - b.Start) })
 	return steps
 }
 
 // span is a stretch of time.
-type span struct{ from, until time.Time }
+type interval struct{ from, until time.Time }
 
 // hush plays a silence.
-func (w *world) hush(s Step) {
+func (w *deployment) silenceStore(s Step) {
 	from := time.Now()
 	defer func() {
 		w.rec.mu.Lock()
 		defer w.rec.mu.Unlock()
-		w.rec.hushes = append(w.rec.hushes, span{from, time.Now()})
+		w.rec.storeSilences = append(w.rec.storeSilences, interval{from, time.Now()})
 	}()
-	if s.How == hushConns {
-		w.gates[s.Who%len(w.gates)].store.Silence(proxy.Cut.DroppedDirection(), whoMost)
+	if s.Variant == silenceConns {
+		w.gates[s.Index%len(w.gates)].store.Silence(proxy.Cut.DroppedDirection(), maxIndex)
 		return
 	}
-	end := from.Add(s.For)
+	end := from.Add(s.Duration)
 	w.store.SetFault(standin.Silent)
 	defer w.store.SetFault(standin.None)
-	switch s.How {
-	case hushCut:
+	switch s.Variant {
+	case silenceCutAtStart:
 		w.store.Cut()
-	case hushHalf:
-		time.Sleep(s.For / 2)
+	case silenceCutHalfway:
+		time.Sleep(s.Duration / 2)
 		w.store.Cut()
-	case hushOften:
-		for time.Until(end) > hushCutEvery {
+	case silenceCutRepeatedly:
+		for time.Until(end) > silenceCutPeriod {
 			w.store.Cut()
-			time.Sleep(hushCutEvery)
+			time.Sleep(silenceCutPeriod)
 		}
 	}
 	time.Sleep(time.Until(end))
@@ -97,17 +97,17 @@
 
 // mayGet returns until when requests may still reach an engine that was published as
 // leaving at a time.
-func (r *record) mayGet(left time.Time) time.Time {
-	if len(r.hushes) == 0 {
-		if r.disturbed.After(left) {
-			left = r.disturbed
+func (r *record) drainDeadline(left time.Time) time.Time {
+	if len(r.storeSilences) == 0 {
+		if r.lastDisturbance.After(left) {
+			left = r.lastDisturbance
 		}
-		return left.Add(r.leaving + leaveSlack)
+		return left.Add(r.drainBound + drainSlack)
 	}
-	until := left.Add(r.leaving + hushSlack)
-	for _, h := range r.hushes {
+	until := left.Add(r.drainBound + silenceDrainSlack)
+	for _, h := range r.storeSilences {
 		if h.until.After(left) && h.from.Before(until) {
-			until = h.until.Add(r.leaving + hushSlack)
+			until = h.until.Add(r.drainBound + silenceDrainSlack)
 		}
 	}
 	return until
--- a/measure/soak/judge_end.go
+++ b/measure/soak/judge_end.go
@@ -11,9 +11,9 @@
 
 // judgeEnd holds how an answer ended for its caller against how its engines ended it. The
 // last of the runs is the one whose answer may have come to its end.
-func (r *record) judgeEnd(a asked, runs []*standin.Run) {
+func (r *record) judgeCompleteness(a request, runs []*standin.Run) {
 	if a.fault != "" {
-		r.breaks("%s %s by %s: got %s", a.path, a.id, a.by, a.fault)
+		r.addViolation("%s %s by %s: got %s", a.path, a.id, a.proto, a.fault)
 	}
 	if len(runs) == 0 {
 		return
@@ -21,17 +21,17 @@
 	last := slices.MaxFunc(runs, func(x, y *standin.Run) int { return x.At.Compare(y.At) })
 	passed := a.signature != ""
 	switch {
-	case !passed, a.end == framing.Incomplete:
+	case !passed, a.ending == framing.Incomplete:
 		// What began by chunks cannot end as an answer that nobody knows to be complete.
-		chunked := a.by != raw10 && a.stream() && framedBy(runs, framing.Chunked)
-		if last.Ended == framing.Closed && !chunked && !a.gaveUp && a.ended.Sub(a.sent) < a.deadline() && !r.disturbedBeyondEngines(a) {
-			r.breaks("%s %s by %s: got status %d, %q after %d bytes, want the %d after which the engine ended its connection", a.path, a.id, a.by, a.status, a.end, a.bytes, last.Sent)
+		chunked := a.proto != raw10 && a.stream() && framedBy(runs, framing.Chunked)
+		if last.Ended == framing.Closed && !chunked && !a.gaveUp && a.ended.Sub(a.sent) < a.deadline() && !r.disturbedBesidesEngines(a) {
+			r.addViolation("%s %s by %s: got status %d, %q after %d bytes, want the %d after which the engine ended its connection", a.path, a.id, a.proto, a.status, a.ending, a.bytes, last.Sent)
 		}
-	case a.end == framing.Complete:
+	case a.ending == framing.Complete:
 		if last.Ended != framing.Complete {
-			r.breaks("%s %s by %s: got status %d as complete, %d bytes, want it told as the engine ended it: %q after %d bytes", a.path, a.id, a.by, a.status, a.bytes, last.Ended, last.Sent)
+			r.addViolation("%s %s by %s: got status %d as complete, %d bytes, want it told as the engine ended it: %q after %d bytes", a.path, a.id, a.proto, a.status, a.bytes, last.Ended, last.Sent)
 		}
-	case a.end == framing.Closed:
+	case a.ending == framing.Closed:
 		r.judgeClosed(a, last, a.stream() && framedBy(runs, framing.UntilClose))
 	}
 }
@@ -39,19 +39,19 @@
 // judgeClosed holds an answer that ended with the caller's connection against its engine's.
 // The end of a killed process looks no different, HTTP/1.0 knows no chunks, and a stream that
 // began without them stays so where another engine takes it up.
-func (r *record) judgeClosed(a asked, last *standin.Run, unframed bool) {
+func (r *record) judgeClosed(a request, last *standin.Run, unframed bool) {
 	if r.killed(a) {
-		if a.status == http.StatusOK && !a.own && !strings.HasPrefix(a.want(), a.body) {
-			r.breaks("%s %s by %s: got %.200q of a gate that was killed, want a part of its own", a.path, a.id, a.by, a.body)
+		if a.status == http.StatusOK && !a.bodyMatches && !strings.HasPrefix(a.wantBody(), a.body) {
+			r.addViolation("%s %s by %s: got %.200q of a gate that was killed, want a part of its own", a.path, a.id, a.proto, a.body)
 		}
 		return
 	}
-	ended := last.Ended == framing.Closed || (last.Ended == framing.Complete && (a.by == raw10 || unframed))
+	ended := last.Ended == framing.Closed || (last.Ended == framing.Complete && (a.proto == raw10 || unframed))
 	switch {
 	case !ended:
-		r.breaks("%s %s by %s: got status %d as ended with its connection, %d bytes, want it told as the engine ended it: %q after %d bytes", a.path, a.id, a.by, a.status, a.bytes, last.Ended, last.Sent)
-	case a.status == http.StatusOK && !a.own && (a.stream() || a.body != a.want()[:min(last.Sent, len(a.want()))]):
-		r.breaks("%s %s by %s: got %d bytes of an answer that ended with its connection, want the %d of its own", a.path, a.id, a.by, a.bytes, last.Sent)
+		r.addViolation("%s %s by %s: got status %d as ended with its connection, %d bytes, want it told as the engine ended it: %q after %d bytes", a.path, a.id, a.proto, a.status, a.bytes, last.Ended, last.Sent)
+	case a.status == http.StatusOK && !a.bodyMatches && (a.stream() || a.body != a.wantBody()[:min(last.Sent, len(a.wantBody()))]):
+		r.addViolation("%s %s by %s: got %d bytes of an answer that ended with its connection, want the %d of its own", a.path, a.id, a.proto, a.bytes, last.Sent)
 	}
 }
 
@@ -61,17 +61,17 @@
 }
 
 // killed reports whether the caller's gate was killed while it answered.
-func (r *record) killed(a asked) bool {
-	return slices.ContainsFunc(slices.Concat(r.troubles, r.kills), func(t trouble) bool {
+func (r *record) killed(a request) bool {
+	return slices.ContainsFunc(slices.Concat(r.disturbances, r.lateKills), func(t disturbance) bool {
 		return t.kind == Kill && (t.gate == everyGate || t.gate == a.gate) && t.from.Before(a.ended) && t.until.After(a.sent)
 	})
 }
 
 // disturbedBeyondEngines reports whether anything but other ways of engines to answer, a stop
 // of its gate included, could be felt while a request ran.
-func (r *record) disturbedBeyondEngines(a asked) bool {
-	struck := slices.ContainsFunc(r.troubles, func(t trouble) bool {
-		return t.kind != Engine && t.kind != Engines && t.kind != Break && t.felt(a)
+func (r *record) disturbedBesidesEngines(a request) bool {
+	disturbed := slices.ContainsFunc(r.disturbances, func(t disturbance) bool {
+		return t.kind != EngineFault && t.kind != AllEnginesFault && t.kind != BreakResponses && t.affects(a)
 	})
-	return struck || slices.ContainsFunc(r.stops, func(s stopped) bool { return s.reaches(a) })
+	return disturbed || slices.ContainsFunc(r.stops, func(s plannedStop) bool { return s.overlaps(a) })
 }
--- a/measure/soak/judge_stop.go
+++ b/measure/soak/judge_stop.go
@@ -8,14 +8,14 @@
 )
 
 // stopped is a planned stop of a gate.
-type stopped struct {
+type plannedStop struct {
 	gate int
 	// at is when it was told, gone when its process had ended.
-	at, gone time.Time
+	signaledAt, exitedAt time.Time
 }
 
 // trouble is what was not planned.
-type trouble struct {
+type disturbance struct {
 	kind Kind
 	// gate is the number of the only gate that it could reach, or everyGate.
 	gate        int
@@ -24,22 +24,22 @@
 
 const everyGate = -1
 
-func (r *record) stopped(s stopped) {
+func (r *record) addStop(s plannedStop) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stops = append(r.stops, s)
 }
 
-func (r *record) trouble(t trouble) {
+func (r *record) addDisturbance(t disturbance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.troubles = append(r.troubles, t)
+	r.disturbances = append(r.disturbances, t)
 }
 
-func (r *record) killedLate(t trouble) {
+func (r *record) addLateKill(t disturbance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.kills = append(r.kills, t)
+	r.lateKills = append(r.lateKills, t)
 }
 
 // Bounds of the promise that a planned stop cuts nothing, as the users have
@@ -52,49 +52,49 @@
 	lateSent  = standin.Grace * 3 / 8
 	lastSixth = standin.Grace * 5 / 6
 	// troubleReach is how long a trouble may still be felt.
-	troubleReach = 3 * time.Second
+	disturbanceReach = 3 * time.Second
 )
 
 // judgeStop holds a request that reached an engine against the promise that
 // planned stops cut no answer. Engines that broke off are troubles; a caller
 // that gave up, and an answer that took as long as it may, are not counted.
-func (r *record) judgeStop(a asked) {
-	if a.whole || a.gaveUp || a.ended.Sub(a.sent) >= a.deadline() {
+func (r *record) judgeStop(a request) {
+	if a.complete || a.gaveUp || a.ended.Sub(a.sent) >= a.deadline() {
 		return
 	}
-	i := slices.IndexFunc(r.stops, func(s stopped) bool { return s.reaches(a) })
+	i := slices.IndexFunc(r.stops, func(s plannedStop) bool { return s.overlaps(a) })
 	if i < 0 {
 		return
 	}
-	if r.stops[i].allows(a) || r.troubled(a) {
+	if r.stops[i].excuses(a) || r.disturbed(a) {
 		r.excused++
 		return
 	}
-	at := r.stops[i].at
-	r.breaks("%s %s was cut by gate %d %v after it was told to stop: status %d, %d bytes of %d, sent %v after the stop",
-		a.path, a.id, a.gate, a.ended.Sub(at), a.status, a.bytes, len(a.want()), a.sent.Sub(at))
+	at := r.stops[i].signaledAt
+	r.addViolation("%s %s was cut by gate %d %v after it was told to stop: status %d, %d bytes of %d, sent %v after the stop",
+		a.path, a.id, a.gate, a.ended.Sub(at), a.status, a.bytes, len(a.wantBody()), a.sent.Sub(at))
 }
 
 // reaches reports whether the request was sent to the process that was stopped
 // and ended around its stop. The next stop of the gate may follow its end at
 // once, before the caller has seen the cut.
-func (s stopped) reaches(a asked) bool {
-	return s.gate == a.gate && !a.sent.After(s.gone) && !a.ended.Before(s.at) && a.ended.Before(s.at.Add(stopReach))
+func (s plannedStop) overlaps(a request) bool {
+	return s.gate == a.gate && !a.sent.After(s.exitedAt) && !a.ended.Before(s.signaledAt) && a.ended.Before(s.signaledAt.Add(stopReach))
 }
 
 // allows reports whether the request came early and was still running when the
 // grace was nearly over.
-func (s stopped) allows(a asked) bool {
-	return !a.sent.After(s.at.Add(lateSent)) && !a.ended.Before(s.at.Add(lastSixth))
+func (s plannedStop) excuses(a request) bool {
+	return !a.sent.After(s.signaledAt.Add(lateSent)) && !a.ended.Before(s.signaledAt.Add(lastSixth))
 }
 
 // troubled reports whether a trouble could be felt from before the request
 // until its end.
-func (r *record) troubled(a asked) bool {
-	return slices.ContainsFunc(r.troubles, func(t trouble) bool { return t.felt(a) })
+func (r *record) disturbed(a request) bool {
+	return slices.ContainsFunc(r.disturbances, func(t disturbance) bool { return t.affects(a) })
 }
 
 // felt reports whether the trouble could be felt from before the request until its end.
-func (t trouble) felt(a asked) bool {
-	return (t.gate == everyGate || t.gate == a.gate) && t.from.Before(a.ended) && t.until.After(a.sent.Add(-troubleReach))
+func (t disturbance) affects(a request) bool {
+	return (t.gate == everyGate || t.gate == a.gate) && t.from.Before(a.ended) && t.until.After(a.sent.Add(-disturbanceReach))
 }
--- a/measure/soak/parts_test.go
+++ b/measure/soak/parts_test.go
@@ -29,12 +29,12 @@
 		for _, s := range soak.Schedule(seed, 18*time.Second, soak.Planned) {
 			switch s.Kind {
 			case soak.Series:
-				early = early || s.At < time.Second
-				ways[s.How], many[s.Many], again[s.Again] = true, true, true
-				if s.For >= time.Second {
-					t.Errorf("seed %d: got %v after a return, want under a second", seed, s.For)
+				early = early || s.Start < time.Second
+				ways[s.Variant], many[s.Count], again[s.Repeats] = true, true, true
+				if s.Duration >= time.Second {
+					t.Errorf("seed %d: got %v after a return, want under a second", seed, s.Duration)
 				}
-			case soak.Reload, soak.Publish, soak.Join, soak.Leave, soak.Compact:
+			case soak.Reload, soak.PublishConfig, soak.AddEngine, soak.DrainEngine, soak.Compact:
 			default:
 				t.Errorf("seed %d: got %v, want planned work alone", seed, s)
 			}
@@ -109,13 +109,13 @@
 	ways, all := map[string]bool{}, false
 	for seed := range uint64(20) {
 		for _, s := range soak.Schedule(seed, 18*time.Second, soak.Breaking) {
-			if s.Kind == soak.Break {
-				ways[s.How] = true
-				all = all || s.Many > 1
+			if s.Kind == soak.BreakResponses {
+				ways[s.Variant] = true
+				all = all || s.Count > 1
 			}
 		}
 	}
-	for _, way := range soak.BreakWays {
+	for _, way := range soak.BreakVariants {
 		if !ways[way] {
 			t.Errorf("got no break %q in 20 seeds", way)
 		}
--- a/measure/soak/play.go
+++ b/measure/soak/play.go
@@ -14,19 +14,19 @@
 const restartSlack = time.Second
 
 // play carries out the schedule.
-func (w *world) play() {
+func (w *deployment) runSteps() {
 	begin := time.Now()
 	w.quietFrom = begin.Add(w.cfg.Length - quiet)
 	for _, s := range w.cfg.Steps {
-		time.Sleep(time.Until(begin.Add(s.At)))
+		time.Sleep(time.Until(begin.Add(s.Start)))
 		w.wg.Go(func() {
 			from := time.Now()
-			w.strike(s)
+			w.apply(s)
 			if !s.planned() {
-				w.rec.trouble(trouble{kind: s.as(), gate: w.struck(s), from: from, until: time.Now()})
+				w.rec.addDisturbance(disturbance{kind: s.disturbanceKind(), gate: w.affectedGate(s), from: from, until: time.Now()})
 			}
 			if s.disturbs() {
-				w.rec.setDisturbed(time.Now())
+				w.rec.setLastDisturbance(time.Now())
 			}
 		})
 	}
@@ -34,8 +34,8 @@
 }
 
 // as returns the kind of trouble that a step is to each gate that it reaches.
-func (s Step) as() Kind {
-	if s.Kind == Herd && s.How == herdKilled {
+func (s Step) disturbanceKind() Kind {
+	if s.Kind == AllGates && s.Variant == allKilled {
 		return Kill
 	}
 	return s.Kind
@@ -43,35 +43,35 @@
 
 // struck returns the number of the only gate that a trouble can reach, or
 // everyGate.
-func (w *world) struck(s Step) int {
+func (w *deployment) affectedGate(s Step) int {
 	switch s.Kind {
-	case Kill, Pause, Suspend, StoreLink, SilentStore, Revoke:
-		return s.Who % len(w.gates)
+	case Kill, Pause, Suspend, StoreLink, SilentStoreConns, Revoke:
+		return s.Index % len(w.gates)
 	}
 	return everyGate
 }
 
 // stopSeries stops gates that follow on one another, each again within a
 // second of its return.
-func (w *world) stopSeries(s Step) {
+func (w *deployment) stopSeries(s Step) {
 	var wg sync.WaitGroup
-	for i := range min(s.Many, len(w.gates)) {
-		g := w.gates[(s.Who+i)%len(w.gates)]
+	for i := range min(s.Count, len(w.gates)) {
+		g := w.gates[(s.Index+i)%len(w.gates)]
 		one := func() {
-			for range s.Again + 1 {
+			for range s.Repeats + 1 {
 				if time.Now().After(w.quietFrom) {
 					return
 				}
 				g.restart(syscall.SIGTERM, w.quietFrom)
-				time.Sleep(s.For)
+				time.Sleep(s.Duration)
 			}
 		}
-		switch s.How {
+		switch s.Variant {
 		case inTurn:
 			one()
 		case overlapping:
 			wg.Go(one)
-			time.Sleep(s.For)
+			time.Sleep(s.Duration)
 		default:
 			wg.Go(one)
 		}
@@ -80,10 +80,10 @@
 }
 
 // strike begins a trouble, and ends it.
-func (w *world) strike(s Step) {
-	g := w.gates[s.Who%len(w.gates)]
+func (w *deployment) apply(s Step) {
+	g := w.gates[s.Index%len(w.gates)]
 	w.mu.Lock()
-	i := s.Who % len(w.engines)
+	i := s.Index % len(w.engines)
 	e, l := w.engines[i], w.links[i]
 	w.mu.Unlock()
 	switch s.Kind {
@@ -91,95 +91,95 @@
 		g.restart(syscall.SIGKILL, w.quietFrom.Add(restartSlack))
 	case Stop:
 		g.restart(syscall.SIGTERM, w.quietFrom.Add(restartSlack))
-	case Roll:
+	case RollingStop:
 		var wg sync.WaitGroup
 		for _, g := range w.gates {
 			if time.Now().After(w.quietFrom) {
 				break
 			}
 			wg.Go(func() { g.restart(syscall.SIGTERM, w.quietFrom) })
-			time.Sleep(s.For)
+			time.Sleep(s.Duration)
 		}
 		wg.Wait()
 	case Series:
 		w.stopSeries(s)
-	case SilentStore:
-		g.store.Silence(proxy.Fault(s.How).DroppedDirection(), s.Many)
-	case SilentEngine:
-		l.Silence(proxy.Fault(s.How).DroppedDirection(), s.Many)
-	case Hush:
-		w.hush(s)
-	case Copy:
-		w.comeBack(s)
+	case SilentStoreConns:
+		g.store.Silence(proxy.Fault(s.Variant).DroppedDirection(), s.Count)
+	case SilentEngineConns:
+		l.Silence(proxy.Fault(s.Variant).DroppedDirection(), s.Count)
+	case SilenceStore:
+		w.silenceStore(s)
+	case RestoreStore:
+		w.restoreStore(s)
 	case Suspend:
-		g.suspend(s.For, w.quietFrom)
+		g.suspend(s.Duration, w.quietFrom)
 	case Pause:
 		g.signal(syscall.SIGSTOP)
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		g.signal(syscall.SIGCONT)
-	case Herd:
-		w.strikeAll(s)
+	case AllGates:
+		w.applyToAllGates(s)
 	case Reload:
 		g.reload()
-	case Store:
-		w.store.SetFault(standin.Fault(s.How))
-		time.Sleep(s.For)
+	case StoreFault:
+		w.store.SetFault(standin.Fault(s.Variant))
+		time.Sleep(s.Duration)
 		w.store.SetFault(standin.None)
 	case Compact:
 		w.store.Compact()
 	case StoreLink:
-		g.store.SetFault(proxy.Fault(s.How))
-		time.Sleep(s.For)
+		g.store.SetFault(proxy.Fault(s.Variant))
+		time.Sleep(s.Duration)
 		g.store.SetFault(proxy.NoFault)
 	case EngineLink:
-		l.SetFault(proxy.Fault(s.How))
-		time.Sleep(s.For)
+		l.SetFault(proxy.Fault(s.Variant))
+		time.Sleep(s.Duration)
 		l.SetFault(proxy.NoFault)
-	case Engine:
-		e.SetReply(w.behave(s.How))
-		time.Sleep(s.For)
+	case EngineFault:
+		e.SetReply(w.behave(s.Variant))
+		time.Sleep(s.Duration)
 		e.SetReply(w.behave(""))
-	case Break:
-		w.breakOff(s, i)
-	case Engines:
-		w.setAll(w.behave(s.How))
-		time.Sleep(s.For)
+	case BreakResponses:
+		w.breakResponses(s, i)
+	case AllEnginesFault:
+		w.setAll(w.behave(s.Variant))
+		time.Sleep(s.Duration)
 		w.setAll(w.behave(""))
-	case Leave:
+	case DrainEngine:
 		w.leave(i)
-	case Join:
+	case AddEngine:
 		// Without an engine more the run goes on.
-		_ = w.join([]string{"llm", "api"}[s.Who%2])
-	case Publish:
+		_ = w.join([]string{"llm", "api"}[s.Index%2])
+	case PublishConfig:
 		w.publish()
-	case Grow:
-		w.grow(s.Many)
-	case Again:
-		w.startAgain(s)
-	case Foreign:
+	case GrowConfig:
+		w.grow(s.Count)
+	case RestartEngines:
+		w.restartEngines(s)
+	case ForeignEntry:
 		w.foreign(i, s)
 	case Revoke:
 		g.store.SetFault(proxy.Cut)
 		w.revoke()
-		time.Sleep(s.For)
+		time.Sleep(s.Duration)
 		g.store.SetFault(proxy.NoFault)
 	}
 }
 
 // revoke takes a key away, once.
-func (w *world) revoke() {
+func (w *deployment) revoke() {
 	w.mu.Lock()
 	w.revoked = true
 	w.mu.Unlock()
 	w.publish()
 	w.rec.mu.Lock()
 	defer w.rec.mu.Unlock()
-	if _, again := w.rec.revoked[keyRevoked]; !again {
-		w.rec.revoked[keyRevoked] = time.Now()
+	if _, again := w.rec.revokedAt[keyRevoked]; !again {
+		w.rec.revokedAt[keyRevoked] = time.Now()
 	}
 }
 
-func (w *world) setAll(reply func(standin.Run) standin.Reply) {
+func (w *deployment) setAll(reply func(standin.Run) standin.Reply) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.engines {
@@ -189,7 +189,7 @@
 
 // leave publishes that an engine leaves, unless it is one of the first, which
 // keep the services alive.
-func (w *world) leave(i int) {
+func (w *deployment) leave(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if i < firstEngines {
@@ -199,7 +199,7 @@
 	w.rec.mu.Lock()
 	defer w.rec.mu.Unlock()
 	delete(w.rec.restarted, w.engines[i].ID())
-	if _, again := w.rec.left[w.engines[i].ID()]; !again {
-		w.rec.left[w.engines[i].ID()] = time.Now()
+	if _, again := w.rec.drainedAt[w.engines[i].ID()]; !again {
+		w.rec.drainedAt[w.engines[i].ID()] = time.Now()
 	}
 }
--- a/measure/soak/process.go
+++ b/measure/soak/process.go
@@ -21,14 +21,14 @@
 
 // gate is one process.
 type gate struct {
-	cfg     Config
-	boot    string
-	callers string
-	peers   string
-	store   *proxy.Link
-	logs    *os.File
-	number  int
-	rec     *record
+	cfg          Config
+	settingsFile string
+	callers      string
+	peers        string
+	store        *proxy.Link
+	logs         *os.File
+	number       int
+	rec          *record
 
 	// restarting makes overlapping restarts one after the other.
 	restarting sync.Mutex
@@ -36,9 +36,9 @@
 	mu  sync.Mutex
 	cmd *exec.Cmd
 	// done is closed when the present process has ended.
-	done  chan struct{}
-	lives int
-	over  bool
+	exited chan struct{}
+	starts int
+	closed bool
 	// suspended is for how long the gate was suspended in all, guarded by restarting.
 	suspended time.Duration
 }
@@ -48,28 +48,28 @@
 	if err != nil {
 		return nil, err
 	}
-	boot := standin.Boot{Revocation: revocation, RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: retryWindow, Leaving: rec.leaving}
+	boot := standin.Boot{Revocation: revocationBound, RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: retryWindow, Leaving: rec.drainBound}
 	if cfg.Play == Growing {
 		l.SetRate(slowLink)
 		boot.LinkMbps, boot.Change = slowLink/bytesPerMegabit, changeBound
 	}
 	var addrs []string
 	for range 3 {
-		a, err := freeAddr()
+		a, err := unusedAddr()
 		if err != nil {
 			return nil, err
 		}
 		addrs = append(addrs, a)
 	}
-	g := &gate{cfg: cfg, boot: filepath.Join(cfg.Dir, fmt.Sprintf("gate-%d.toml", i)), callers: addrs[0], peers: addrs[2], store: l, number: i, rec: rec}
+	g := &gate{cfg: cfg, settingsFile: filepath.Join(cfg.Dir, fmt.Sprintf("gate-%d.toml", i)), callers: addrs[0], peers: addrs[2], store: l, number: i, rec: rec}
 	boot.Number, boot.Seeds, boot.Store = i, seeds, l.Addr()
 	boot.Callers, boot.Readiness, boot.Peers = addrs[0], addrs[1], addrs[2]
-	if err := os.WriteFile(g.boot, []byte(standin.BootText(boot)), 0o600); err != nil {
+	if err := os.WriteFile(g.settingsFile, []byte(standin.BootText(boot)), 0o600); err != nil {
 		return nil, err
 	}
 	// One of a run before counts for nothing.
-	_ = os.Remove(g.suspensions())
-	g.logs, err = os.Create(strings.TrimSuffix(g.boot, ".toml") + ".log")
+	_ = os.Remove(g.suspensionFile())
+	g.logs, err = os.Create(strings.TrimSuffix(g.settingsFile, ".toml") + ".log")
 	return g, err
 }
 
@@ -89,7 +89,7 @@
 
 // freeAddr returns an address that nobody listens on and that is given to no
 // other gate.
-func freeAddr() (string, error) {
+func unusedAddr() (string, error) {
 	nextPort.Lock()
 	defer nextPort.Unlock()
 	var err error
@@ -107,21 +107,21 @@
 }
 
 // begin starts the process and does not wait until it listens.
-func (g *gate) begin() error {
+func (g *gate) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.over {
+	if g.closed {
 		return nil
 	}
 	cmd := exec.Command(g.cfg.Binary, "gate", "--metrics-port", "0")
-	cmd.Env = append(os.Environ(), append(g.cfg.Env, platform.BootFile+"="+g.boot, clocktest.SuspensionsEnv+"="+g.suspensions())...)
+	cmd.Env = append(os.Environ(), append(g.cfg.Env, platform.BootFile+"="+g.settingsFile, clocktest.SuspensionsEnv+"="+g.suspensionFile())...)
 	cmd.Stdout, cmd.Stderr = g.logs, g.logs
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start gate: %w", err)
 	}
 	done := make(chan struct{})
-	g.cmd, g.done = cmd, done
-	g.lives++
+	g.cmd, g.exited = cmd, done
+	g.starts++
 	go func() {
 		defer close(done)
 		// The rest of how it ended is in its log.
@@ -152,46 +152,46 @@
 		return
 	}
 	g.mu.Lock()
-	done := g.done
+	done := g.exited
 	g.mu.Unlock()
 	at := time.Now()
 	g.signal(s)
 	select {
 	case <-done:
-	case <-time.After(restartLimit):
+	case <-time.After(stopTimeout):
 		killed := time.Now()
 		g.signal(syscall.SIGKILL)
 		<-done
-		g.rec.killedLate(trouble{kind: Kill, gate: g.number, from: killed, until: time.Now()})
+		g.rec.addLateKill(disturbance{kind: Kill, gate: g.number, from: killed, until: time.Now()})
 	}
 	if s == syscall.SIGTERM {
-		g.rec.stopped(stopped{gate: g.number, at: at, gone: time.Now()})
+		g.rec.addStop(plannedStop{gate: g.number, signaledAt: at, exitedAt: time.Now()})
 	}
 	// The next trouble or the judgement shows a gate that did not start.
-	_ = g.begin()
+	_ = g.start()
 }
 
 // reload has the process read its settings again. One that has not told yet that it
 // started does not catch signals, and would end by this one.
 func (g *gate) reload() {
 	g.mu.Lock()
-	lives := g.lives
+	starts := g.starts
 	g.mu.Unlock()
 	// A log that cannot be read shows no start.
 	told, _ := os.ReadFile(g.logs.Name())
-	if bytes.Count(told, []byte("msg=started ")) == lives {
+	if bytes.Count(told, []byte("msg=started ")) == starts {
 		g.signal(syscall.SIGHUP)
 	}
 }
 
 // restartLimit is when a process is killed that was told to stop. The grace is
 // its own to keep, so a second is added.
-const restartLimit = standin.Grace + time.Second
+const stopTimeout = standin.Grace + time.Second
 
-func (g *gate) end() {
+func (g *gate) close() {
 	g.mu.Lock()
-	g.over = true
-	done := g.done
+	g.closed = true
+	done := g.exited
 	g.mu.Unlock()
 	g.signal(syscall.SIGCONT)
 	g.signal(syscall.SIGKILL)
--- a/measure/soak/schedule.go
+++ b/measure/soak/schedule.go
@@ -14,44 +14,44 @@
 type Kind string
 
 const (
-	Kill    Kind = "kill"
-	Pause   Kind = "pause"
-	Stop    Kind = "stop"
-	Reload  Kind = "reload"
-	Store   Kind = "store"
-	Compact Kind = "compact"
+	Kill       Kind = "kill"
+	Pause      Kind = "pause"
+	Stop       Kind = "stop"
+	Reload     Kind = "reload"
+	StoreFault Kind = "store"
+	Compact    Kind = "compact"
 	// StoreLink and EngineLink are faults of the way to the store, and to an
 	// engine.
 	StoreLink  Kind = "store_link"
 	EngineLink Kind = "engine_link"
 	// Engine makes an engine misbehave.
-	Engine Kind = "engine"
+	EngineFault Kind = "engine"
 	// Engines makes all engines misbehave alike.
-	Engines Kind = "engines"
-	Leave   Kind = "leave"
-	Join    Kind = "join"
-	Publish Kind = "publish"
+	AllEnginesFault Kind = "engines"
+	DrainEngine     Kind = "leave"
+	AddEngine       Kind = "join"
+	PublishConfig   Kind = "publish"
 	// Revoke takes a key away while one gate is cut from the store.
 	Revoke Kind = "revoke"
 	// Roll stops all gates one after the other.
-	Roll Kind = "roll"
+	RollingStop Kind = "roll"
 	// Series stops some gates, and each of them again soon after its return.
 	Series Kind = "series"
 	// SilentStore and SilentEngine make connections that are open silent for
 	// good, without a reset, while new ones work.
-	SilentStore  Kind = "silent_store"
-	SilentEngine Kind = "silent_engine"
+	SilentStoreConns  Kind = "silent_store"
+	SilentEngineConns Kind = "silent_engine"
 	// Grow publishes more routes.
-	Grow Kind = "grow"
+	GrowConfig Kind = "grow"
 	// Again makes engines crash and start again under the ids that they have.
-	Again Kind = "again"
+	RestartEngines Kind = "again"
 	// Copy has the store come back from an older copy, in a new era.
-	Copy Kind = "copy"
+	RestoreStore Kind = "copy"
 	// Suspend suspends a gate's instance.
 	Suspend Kind = "suspend"
 	// Foreign puts an entry of another writer on the list, new and in place of an
 	// engine's.
-	Foreign Kind = "foreign"
+	ForeignEntry Kind = "foreign"
 )
 
 // Play says what is drawn from a seed and how long answers are.
@@ -81,7 +81,7 @@
 // Plays lists all plays.
 var Plays = []Play{Even, Planned, Mixed, Growing, Restarting, Ending, Copying, Hushing, Failing, Breaking}
 
-func (p Play) uneven() bool { return p == Planned || p == Mixed }
+func (p Play) hasLongStreams() bool { return p == Planned || p == Mixed }
 
 // How the stops of a series lie to one another.
 const (
@@ -92,33 +92,33 @@
 
 // kinds is drawn from evenly; what stands twice comes twice as often.
 var kinds = []Kind{
-	Kill, Pause, Stop, Reload, Store, Compact, StoreLink, StoreLink, EngineLink, Engine, Engine, Engine, Engine, Engines, Leave, Leave, Join, Publish, Revoke,
+	Kill, Pause, Stop, Reload, StoreFault, Compact, StoreLink, StoreLink, EngineLink, EngineFault, EngineFault, EngineFault, EngineFault, AllEnginesFault, DrainEngine, DrainEngine, AddEngine, PublishConfig, Revoke,
 }
 
 // mixedKinds is drawn from in a mixed play.
-var mixedKinds = slices.Concat(kinds, []Kind{Series, Series, Series, SilentStore, SilentStore, SilentEngine, SilentEngine})
+var mixedKinds = slices.Concat(kinds, []Kind{Series, Series, Series, SilentStoreConns, SilentStoreConns, SilentEngineConns, SilentEngineConns})
 
 // plannedKinds is what goes on besides the stops of a planned play.
-var plannedKinds = []Kind{Reload, Publish, Join, Leave, Compact}
+var plannedKinds = []Kind{Reload, PublishConfig, AddEngine, DrainEngine, Compact}
 
 // Step is one trouble of a schedule.
 type Step struct {
-	At   time.Duration
-	For  time.Duration
-	Kind Kind
+	Start    time.Duration
+	Duration time.Duration
+	Kind     Kind
 	// Who is the number of the gate or engine that it strikes.
-	Who int
+	Index int
 	// How is the variant, "" where there is one only.
-	How string
+	Variant string
 	// Many is how many gates or connections it strikes where that may be several,
 	// and Again how often each gate of a series is stopped once more.
-	Many, Again int
+	Count, Repeats int
 }
 
 // planned reports whether it is work that no promise is excused by.
 func (s Step) planned() bool {
 	switch s.Kind {
-	case Stop, Roll, Series, Reload, Leave, Join, Publish, Compact, Grow:
+	case Stop, RollingStop, Series, Reload, DrainEngine, AddEngine, PublishConfig, Compact, GrowConfig:
 		return true
 	}
 	return false
@@ -127,7 +127,7 @@
 // disturbs reports whether a gate may know less of engines while it lasts.
 func (s Step) disturbs() bool {
 	switch s.Kind {
-	case Pause, Herd, Suspend, Store, Compact, Copy, StoreLink, SilentStore, Revoke:
+	case Pause, AllGates, Suspend, StoreFault, Compact, RestoreStore, StoreLink, SilentStoreConns, Revoke:
 		return true
 	}
 	return false
@@ -135,20 +135,20 @@
 
 // String returns the step as it stands in reports.
 func (s Step) String() string {
-	text := fmt.Sprintf("%v for %v: %s %s on %d", s.At, s.For, s.Kind, s.How, s.Who)
-	if s.Many > 0 {
-		text += fmt.Sprintf(", %d of them, %d times more", s.Many, s.Again)
+	text := fmt.Sprintf("%v for %v: %s %s on %d", s.Start, s.Duration, s.Kind, s.Variant, s.Index)
+	if s.Count > 0 {
+		text += fmt.Sprintf(", %d of them, %d times more", s.Count, s.Repeats)
 	}
 	return text
 }
 
 var (
-	storeFaults = []standin.Fault{standin.Busy, standin.Limited, standin.Reset, standin.Silent, standin.Nonsense, standin.Deaf, standin.Mute}
-	linkFaults  = []proxy.Fault{proxy.Delayed, proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget, proxy.Resets}
-	commonWays  = []string{"refuse", "reset", "error"}
-	silences    = []proxy.Fault{proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget}
-	seriesWays  = []string{together, together, overlapping, inTurn}
-	engineWays  = []string{"refuse", "reset", "cut", "extra", "older", "unframed", "garbage", "slow", "error"}
+	storeFaults        = []standin.Fault{standin.Busy, standin.Limited, standin.Reset, standin.Silent, standin.Nonsense, standin.Deaf, standin.Mute}
+	linkFaults         = []proxy.Fault{proxy.Delayed, proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget, proxy.Resets}
+	allEnginesVariants = []string{"refuse", "reset", "error"}
+	silences           = []proxy.Fault{proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget}
+	seriesVariants     = []string{together, together, overlapping, inTurn}
+	engineVariants     = []string{"refuse", "reset", "cut", "extra", "older", "unframed", "garbage", "slow", "error"}
 )
 
 // newSchedule draws the troubles of a run. They overlap, and end quiet before
@@ -178,49 +178,49 @@
 	case Copying:
 		from = copyingKinds
 	}
-	n := int(length/time.Second)*stepsPerSecond/10 + 1
+	n := int(length/time.Second)*stepsPerTenSeconds/10 + 1
 	var steps []Step
 	for range n {
 		at := time.Duration(rng.Int64N(int64(length - quiet)))
-		s := Step{At: at, Kind: from[rng.IntN(len(from))]}
+		s := Step{Start: at, Kind: from[rng.IntN(len(from))]}
 		longest := longestStep
 		if s.Kind == StoreLink || s.Kind == Revoke {
 			longest = longestCut
 		}
-		s.For = min(time.Duration(rng.Int64N(int64(longest)))+shortestStep, length-quiet-at)
-		s.Who = rng.IntN(whoMost)
+		s.Duration = min(time.Duration(rng.Int64N(int64(longest)))+shortestStep, length-quiet-at)
+		s.Index = rng.IntN(maxIndex)
 		switch s.Kind {
-		case Store:
-			s.How = string(storeFaults[rng.IntN(len(storeFaults))])
+		case StoreFault:
+			s.Variant = string(storeFaults[rng.IntN(len(storeFaults))])
 		case StoreLink, EngineLink:
-			s.How = string(linkFaults[rng.IntN(len(linkFaults))])
-		case Engine:
-			s.How = engineWays[rng.IntN(len(engineWays))]
-		case Engines:
-			s.How = commonWays[rng.IntN(len(commonWays))]
+			s.Variant = string(linkFaults[rng.IntN(len(linkFaults))])
+		case EngineFault:
+			s.Variant = engineVariants[rng.IntN(len(engineVariants))]
+		case AllEnginesFault:
+			s.Variant = allEnginesVariants[rng.IntN(len(allEnginesVariants))]
 		case Series:
 			s = newSeries(rng, at)
-		case Copy:
-			s.For = time.Duration(rng.Int64N(int64(longestStep)))
-		case Again:
-			s.How, s.Many = againWays[rng.IntN(len(againWays))], againGroups[rng.IntN(len(againGroups))]
-		case Foreign:
-			s.How = foreignWays[rng.IntN(len(foreignWays))]
-		case SilentStore, SilentEngine:
-			s.How, s.Many = string(silences[rng.IntN(len(silences))]), 1+rng.IntN(mostSilent)
+		case RestoreStore:
+			s.Duration = time.Duration(rng.Int64N(int64(longestStep)))
+		case RestartEngines:
+			s.Variant, s.Count = restartVariants[rng.IntN(len(restartVariants))], restartGroups[rng.IntN(len(restartGroups))]
+		case ForeignEntry:
+			s.Variant = foreignVariants[rng.IntN(len(foreignVariants))]
+		case SilentStoreConns, SilentEngineConns:
+			s.Variant, s.Count = string(silences[rng.IntN(len(silences))]), 1+rng.IntN(maxSilentConns)
 		}
 		steps = append(steps, s)
 	}
 	if seed%rollEvery == 0 {
-		roll := Step{At: time.Duration(rng.Int64N(int64(length - quiet))), Kind: Roll, For: shortestStep + time.Duration(rng.Int64N(int64(longestGap)))}
+		roll := Step{Start: time.Duration(rng.Int64N(int64(length - quiet))), Kind: RollingStop, Duration: shortestStep + time.Duration(rng.Int64N(int64(longestGap)))}
 		steps = append(steps, roll)
 	}
 	if play == Restarting {
 		// After the last restart of a gate, so that the gates that were told that all
 		// engines leave go on to the end.
-		steps = append(steps, Step{At: length - lastAgain, Kind: Again, For: shortestStep, How: leavesAgain, Many: whoMost})
+		steps = append(steps, Step{Start: length - lastRestartBeforeEnd, Kind: RestartEngines, Duration: shortestStep, Variant: drainsFirst, Count: maxIndex})
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.Start - b.Start) })
 	return steps
 }
 
@@ -228,42 +228,42 @@
 // gates, and some other planned work.
 func newPlanned(rng *rand.Rand, length time.Duration) []Step {
 	steps := []Step{newSeries(rng, time.Duration(rng.Int64N(int64(time.Second))))}
-	for range 1 + rng.IntN(mostSeries) {
+	for range 1 + rng.IntN(maxSeries) {
 		steps = append(steps, newSeries(rng, time.Duration(rng.Int64N(int64(length-quiet)))))
 	}
-	for range rng.IntN(mostOther) {
-		s := Step{At: time.Duration(rng.Int64N(int64(length - quiet))), Kind: plannedKinds[rng.IntN(len(plannedKinds))], Who: rng.IntN(whoMost)}
+	for range rng.IntN(maxOther) {
+		s := Step{Start: time.Duration(rng.Int64N(int64(length - quiet))), Kind: plannedKinds[rng.IntN(len(plannedKinds))], Index: rng.IntN(maxIndex)}
 		steps = append(steps, s)
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.Start - b.Start) })
 	return steps
 }
 
 // groups is how many gates are stopped. All comes twice: while none serves in
 // their place, stopping gates take what may end in time.
-var groups = []int{1, 2, whoMost, whoMost}
+var seriesGroups = []int{1, 2, maxIndex, maxIndex}
 
 // newSeries draws stops of one gate, of two or of all.
 func newSeries(rng *rand.Rand, at time.Duration) Step {
-	s := Step{At: at, Kind: Series, Who: rng.IntN(whoMost), How: seriesWays[rng.IntN(len(seriesWays))], Again: rng.IntN(mostAgain + 1)}
-	s.For = shortestStep + time.Duration(rng.Int64N(int64(time.Second-shortestStep)))
-	s.Many = groups[rng.IntN(len(groups))]
+	s := Step{Start: at, Kind: Series, Index: rng.IntN(maxIndex), Variant: seriesVariants[rng.IntN(len(seriesVariants))], Repeats: rng.IntN(maxRepeats + 1)}
+	s.Duration = shortestStep + time.Duration(rng.Int64N(int64(time.Second-shortestStep)))
+	s.Count = seriesGroups[rng.IntN(len(seriesGroups))]
 	return s
 }
 
 const (
 	// mostSeries bounds the series after the first of a planned play, mostOther
-	// the other planned work, mostAgain how often a gate is stopped again, and
+	// the other planned work, maxRepeats how often a gate is stopped again, and
 	// mostSilent how many connections fall silent at a time.
-	mostSeries = 3
-	mostOther  = 5
-	mostAgain  = 2
-	mostSilent = 3
+	maxSeries      = 3
+	maxOther       = 5
+	maxRepeats     = 2
+	maxSilentConns = 3
 	// stepsPerSecond is in tenths: 25 troubles begin in ten seconds.
-	stepsPerSecond = 25
+	stepsPerTenSeconds = 25
 	// whoMost bounds the numbers of gates and engines that are struck; they
 	// are taken modulo what there is.
-	whoMost = 64
+	maxIndex = 64
 	// rollEvery is how many seeds lie between two that stop all gates in turn. It
 	// is drawn last, so the other seeds play what they did before it was known.
 	rollEvery = 3
@@ -273,11 +273,11 @@
 	longestCut = 9 * time.Second
 	// quiet is the end of a run in which no trouble is begun.
 	quiet = 9 * time.Second
-	// lastAgain is before the end: gates take news of the list a second later, twice,
+	// lastRestartBeforeEnd is before the end: gates take news of the list a second later, twice,
 	// and requests must be served in the last of it.
-	lastAgain    = 5200 * time.Millisecond
-	shortestStep = 300 * time.Millisecond
-	longestStep  = 4 * time.Second
+	lastRestartBeforeEnd = 5200 * time.Millisecond
+	shortestStep         = 300 * time.Millisecond
+	longestStep          = 4 * time.Second
 	// firstEngines is how many engines each service has at the start.
 	firstEngines = 4
 )
--- a/measure/soak/shrink.go
+++ b/measure/soak/shrink.go
@@ -30,7 +30,7 @@
 		cfg := broken.Config
 		cfg.Steps = slices.Concat(steps[:from], steps[min(len(steps), from+size):])
 		r, err := Run(ctx, cfg)
-		if err == nil && len(r.Broken) > 0 {
+		if err == nil && len(r.Violations) > 0 {
 			return r, true
 		}
 	}
--- a/measure/soak/soak.go
+++ b/measure/soak/soak.go
@@ -43,50 +43,50 @@
 	// Excused counts answers cut around a planned stop that break no promise.
 	Excused int
 	// Broken has the promises that did not hold.
-	Broken []string
+	Violations []string
 }
 
 // String returns the summary in one line.
 func (r Report) String() string {
 	return fmt.Sprintf("seed=%d play=%s gates=%d steps=%d requests=%d served=%d refused_leaving=%d cut_excused=%d broken=%d",
-		r.Config.Seed, r.Config.Play, r.Config.Gates, len(r.Config.Steps), r.Requests, r.Served, r.Refused, r.Excused, len(r.Broken))
+		r.Config.Seed, r.Config.Play, r.Config.Gates, len(r.Config.Steps), r.Requests, r.Served, r.Refused, r.Excused, len(r.Violations))
 }
 
 // Figures of the deployment that is run.
 const (
-	host         = "soak.example"
-	workspace    = "ws-1"
-	keyKept      = "key-kept"
-	keyRevoked   = "key-revoked"
-	revocation   = 4 * time.Second
-	retryRatio   = 0.2
-	retryExtra   = 96
-	retryWindow  = 3 * time.Second
-	extraPerGate = retryExtra / 32
+	host            = "soak.example"
+	workspace       = "ws-1"
+	keyKept         = "key-kept"
+	keyRevoked      = "key-revoked"
+	revocationBound = 4 * time.Second
+	retryRatio      = 0.2
+	retryExtra      = 96
+	retryWindow     = 3 * time.Second
+	extraPerGate    = retryExtra / 32
 	// More gates than manyGates share the list of engines, if the bound for leaving ones
 	// leaves them the time: it is leavingOfMany there, and leavingOfFew among fewer.
-	manyGates     = 32
-	leavingOfMany = 4 * time.Second
-	leavingOfFew  = 2 * time.Second
-	streamEvents  = 12
-	eventPause    = 15 * time.Millisecond
-	callers       = 3
+	manyGates           = 32
+	drainBoundManyGates = 4 * time.Second
+	drainBoundFewGates  = 2 * time.Second
+	streamEvents        = 12
+	eventPause          = 15 * time.Millisecond
+	callers             = 3
 	// askTimeout is the deadline that callers tell, and callerPatience is after
 	// how long they give up.
-	askTimeout     = 3 * time.Second
+	requestTimeout = 3 * time.Second
 	callerPatience = 8 * time.Second
 )
 
 // leavingFor returns the bound for leaving engines among so many gates.
-func leavingFor(gates int) time.Duration {
+func drainBoundFor(gates int) time.Duration {
 	if gates > manyGates {
-		return leavingOfMany
+		return drainBoundManyGates
 	}
-	return leavingOfFew
+	return drainBoundFewGates
 }
 
 // world is a deployment that runs.
-type world struct {
+type deployment struct {
 	cfg   Config
 	store *standin.Store
 	rec   *record
@@ -97,7 +97,7 @@
 	quietFrom time.Time
 
 	// copying makes returns of the store one after the other.
-	copying sync.Mutex
+	restoring sync.Mutex
 
 	mu      sync.Mutex
 	engines []*standin.Engine
@@ -120,7 +120,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := &world{cfg: cfg, store: standin.NewStore(3), ctx: ctx, rec: &record{leaving: leavingFor(cfg.Gates), left: map[string]time.Time{}, restarted: map[string]bool{}, revoked: map[string]time.Time{}, published: map[int]time.Time{}}}
+	w := &deployment{cfg: cfg, store: standin.NewStore(3), ctx: ctx, rec: &record{drainBound: drainBoundFor(cfg.Gates), drainedAt: map[string]time.Time{}, restarted: map[string]bool{}, revokedAt: map[string]time.Time{}, publishedAt: map[int]time.Time{}}}
 	if cfg.Play == Copying {
 		w.store.TellEra(1)
 	}
@@ -128,29 +128,29 @@
 		return Report{}, err
 	}
 	defer w.stop()
-	w.play()
+	w.runSteps()
 	// Answers that run on say nothing of recovery.
 	w.rec.ended = time.Now()
 	cancel()
 	w.wg.Wait()
-	lives := 0
+	starts := 0
 	for _, g := range w.gates {
-		lives += g.lives
+		starts += g.starts
 	}
-	w.rec.judge(w.engines, w.services, lives)
-	r := Report{Config: cfg, Requests: len(w.rec.asked), Excused: w.rec.excused, Broken: w.rec.broken}
-	for _, a := range w.rec.asked {
-		if a.status == http.StatusOK && a.whole {
+	w.rec.judge(w.engines, w.services, starts)
+	r := Report{Config: cfg, Requests: len(w.rec.requests), Excused: w.rec.excused, Violations: w.rec.violations}
+	for _, a := range w.rec.requests {
+		if a.status == http.StatusOK && a.complete {
 			r.Served++
 		}
-		if a.leaving() {
+		if a.refusedDraining() {
 			r.Refused++
 		}
 	}
 	return r, nil
 }
 
-func (w *world) start() error {
+func (w *deployment) start() error {
 	storeAddr, err := w.serveStore()
 	if err != nil {
 		return err
@@ -173,7 +173,7 @@
 		w.gates = append(w.gates, g)
 	}
 	for i, g := range w.gates {
-		if err := g.begin(); err != nil {
+		if err := g.start(); err != nil {
 			return err
 		}
 		for c := range callers {
@@ -183,8 +183,8 @@
 			w.wg.Go(func() { w.callVersions(i) })
 		}
 		if w.cfg.Play == Ending && i == 0 {
-			for k := range endingRequests {
-				w.wg.Go(func() { w.callEnding(k) })
+			for k := range crashingRequests {
+				w.wg.Go(func() { w.callCrashing(k) })
 			}
 		}
 		if w.cfg.Play == Breaking {
@@ -197,7 +197,7 @@
 				w.wg.Go(func() { w.callFailing(i, c) })
 			}
 		}
-		if w.cfg.Play.uneven() {
+		if w.cfg.Play.hasLongStreams() {
 			for c := range longCallers {
 				w.wg.Go(func() { w.callLong(i, callers+c) })
 			}
@@ -206,7 +206,7 @@
 	return nil
 }
 
-func (w *world) serveStore() (string, error) {
+func (w *deployment) serveStore() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -217,9 +217,9 @@
 	return ln.Addr().String(), nil
 }
 
-func (w *world) stop() {
+func (w *deployment) stop() {
 	for _, g := range w.gates {
-		g.end()
+		g.close()
 	}
 	for _, e := range w.engines {
 		e.Close()
@@ -230,7 +230,7 @@
 }
 
 // join starts an engine and lists it.
-func (w *world) join(service string) error {
+func (w *deployment) join(service string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e, err := standin.NewEngine(fmt.Sprintf("i-%d", len(w.engines)), w.behave(""))
@@ -253,7 +253,7 @@
 }
 
 // list publishes an engine's state. The caller holds mu.
-func (w *world) list(i int, state string) {
+func (w *deployment) list(i int, state string) {
 	addr := w.links[i].Addr()
 	if w.cfg.Play == Ending {
 		addr = w.engines[i].Addr()
@@ -262,7 +262,7 @@
 }
 
 // publish writes the next version of the config.
-func (w *world) publish() {
+func (w *deployment) publish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
@@ -271,7 +271,7 @@
 }
 
 // putConfig writes the present version. The caller holds mu.
-func (w *world) putConfig() {
+func (w *deployment) putConfig() {
 	keys := []string{keyKept, keyRevoked}
 	if w.revoked {
 		keys = keys[:1]
@@ -315,7 +315,7 @@
 		case "error":
 			p = standin.Reply{Status: http.StatusInternalServerError, Body: "oops"}
 		default:
-			p = breaks(way, run, p)
+			p = breakReply(way, run, p)
 		}
 		return p
 	}
--- a/measure/soak/soak_test.go
+++ b/measure/soak/soak_test.go
@@ -59,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				t.Errorf("seed %d, play %s: %s", kept.seed, kept.play, b)
 			}
 			if r.Served == 0 {
--- a/measure/soak/weldsoak/main.go
+++ b/measure/soak/weldsoak/main.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	if a.Dir, err = place(a.Dir); err != nil {
+	if a.Dir, err = makeDir(a.Dir); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -81,8 +81,8 @@
 			return err
 		}
 		fmt.Println(r)
-		if len(r.Broken) > 0 {
-			return tell(ctx, r, a.Shrink)
+		if len(r.Violations) > 0 {
+			return reportViolations(ctx, r, a.Shrink)
 		}
 	}
 	return nil
@@ -114,7 +114,7 @@
 }
 
 // place returns the folder for settings files and logs, and makes it.
-func place(dir string) (string, error) {
+func makeDir(dir string) (string, error) {
 	if dir == "" {
 		return os.MkdirTemp("", "weldsoak")
 	}
@@ -125,13 +125,13 @@
 }
 
 // tell prints what broke and the smallest schedule on which it does.
-func tell(ctx context.Context, r soak.Report, runs int) error {
-	for _, b := range r.Broken {
+func reportViolations(ctx context.Context, r soak.Report, runs int) error {
+	for _, b := range r.Violations {
 		fmt.Println("  broken:", b)
 	}
 	small := soak.Shrink(ctx, r, runs)
 	for _, s := range small.Config.Steps {
 		fmt.Println("  step:", s)
 	}
-	return fmt.Errorf("seed %d, play %s: %d promises broken; logs in %s", r.Config.Seed, r.Config.Play, len(r.Broken), r.Config.Dir)
+	return fmt.Errorf("seed %d, play %s: %d promises broken; logs in %s", r.Config.Seed, r.Config.Play, len(r.Violations), r.Config.Dir)
 }
--- a/measure/soak/weldsoak/main_test.go
+++ b/measure/soak/weldsoak/main_test.go
@@ -9,7 +9,7 @@
 
 func TestTheFolderForLogsIsMadeOrTheErrorSaysWhatToDo(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b")
-	got, err := place(dir)
+	got, err := makeDir(dir)
 	if err != nil || got != dir {
 		t.Fatalf("got %q, %v, want %q", got, err, dir)
 	}
@@ -20,7 +20,7 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err = place(file); err == nil || !strings.Contains(err.Error(), file) || !strings.Contains(err.Error(), "--dir") {
+	if _, err = makeDir(file); err == nil || !strings.Contains(err.Error(), file) || !strings.Contains(err.Error(), "--dir") {
 		t.Errorf("got %v, want the place and the option", err)
 	}
 }
