--- a/commands/load.go
+++ b/commands/load.go
@@ -55,7 +55,7 @@
 		return usagef("load: pass --url, --key and --model, or --demo PARTNER")
 	}
 	rep, turns, err := load.Run(ctx, load.Config{
-		URLs: c.URLs, Pages: c.Pages, Keys: c.Keys, Model: c.Model, Shape: shape, Rate: c.Rate,
+		URLs: c.URLs, AdminURLs: c.Pages, Keys: c.Keys, Model: c.Model, Shape: shape, Rate: c.Rate,
 		Duration: clock.Millis(c.Seconds) * 1000, MaxInFlight: c.InFlight, Seed: c.Seed, Clock: clock.System(),
 	})
 	if err != nil {
--- a/measure/load/client.go
+++ b/measure/load/client.go
@@ -21,27 +21,27 @@
 }
 
 type chatRequest struct {
-	Model         string    `json:"model"`
-	Stream        bool      `json:"stream"`
-	MaxTokens     int       `json:"max_tokens"`
-	Messages      []message `json:"messages"`
-	StreamOptions *options  `json:"stream_options,omitempty"`
+	Model         string         `json:"model"`
+	Stream        bool           `json:"stream"`
+	MaxTokens     int            `json:"max_tokens"`
+	Messages      []message      `json:"messages"`
+	StreamOptions *streamOptions `json:"stream_options,omitempty"`
 }
 
-type options struct {
+type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
 // reply is what came back for one request.
-type reply struct {
-	status  int
-	verdict string
-	reason  string
-	content string
-	whole   bool
-	prompt  int
-	cached  int
-	tokens  int
+type response struct {
+	status   int
+	verdict  string
+	reason   string
+	content  string
+	complete bool
+	prompt   int
+	cached   int
+	tokens   int
 	// firstMicros, totalMicros are since the request was sent.
 	firstMicros, totalMicros int64
 	// gapMicros is the mean time between tokens.
@@ -68,29 +68,29 @@
 }
 
 // maxError bounds an error body in bytes.
-const maxError = 64 << 10
+const maxErrorBytes = 64 << 10
 
 // ask sends one streamed chat turn and reads the whole answer.
-func ask(ctx context.Context, h *http.Client, clk *clock.Clock, url, key string, q chatRequest) reply {
+func sendTurn(ctx context.Context, h *http.Client, clk *clock.Clock, url, key string, q chatRequest) response {
 	body, err := json.Marshal(q)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, strings.TrimSuffix(url, "/")+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	req.Header.Set("Content-Type", "application/json")
 	start := clk.Micros()
 	res, err := h.Do(req)
 	if err != nil {
-		return reply{err: err, totalMicros: clk.Micros() - start}
+		return response{err: err, totalMicros: clk.Micros() - start}
 	}
 	defer func() { _ = res.Body.Close() }()
-	r := reply{status: res.StatusCode}
+	r := response{status: res.StatusCode}
 	if res.StatusCode != http.StatusOK {
-		b, _ := io.ReadAll(io.LimitReader(res.Body, maxError))
+		b, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
 		var ev event
 		if json.Unmarshal(b, &ev) == nil && ev.Error != nil {
 			r.verdict, r.reason = ev.Error.Verdict, ev.Error.Code
@@ -102,7 +102,7 @@
 	return r
 }
 
-func (r *reply) read(body io.Reader, clk *clock.Clock, start int64) {
+func (r *response) read(body io.Reader, clk *clock.Clock, start int64) {
 	in := events.NewReader(body, target.MaxEvent)
 	var last int64
 	for {
@@ -112,7 +112,7 @@
 			break
 		}
 		if string(ev.Data) == "[DONE]" {
-			r.whole, r.verdict = true, "ran"
+			r.complete, r.verdict = true, "ran"
 			break
 		}
 		var e event
--- a/measure/load/load.go
+++ b/measure/load/load.go
@@ -23,7 +23,7 @@
 	// URLs are the entries; requests go to them in turn.
 	URLs []string
 	// Pages are admin addresses of entries, for skew and control bytes.
-	Pages []string
+	AdminURLs []string
 	// Keys are the bearer keys of the workspaces, the large ones first.
 	Keys  []string
 	Model string
@@ -42,7 +42,7 @@
 type Report struct {
 	Requests int            `json:"requests"`
 	Dropped  int            `json:"dropped"`
-	Whole    int            `json:"whole"`
+	Complete int            `json:"whole"`
 	Verdicts map[string]int `json:"verdicts"`
 	// Reasons counts failures by reason or transport error.
 	Reasons map[string]int `json:"reasons,omitempty"`
@@ -50,9 +50,9 @@
 	Reuse     float64 `json:"reuse"`
 	Returning int     `json:"returning"`
 	// Latencies are in milliseconds.
-	First   Latency `json:"first_token"`
-	Between Latency `json:"between_tokens"`
-	Total   Latency `json:"total"`
+	FirstToken    Latency `json:"first_token"`
+	BetweenTokens Latency `json:"between_tokens"`
+	Total         Latency `json:"total"`
 	// Skew is the highest load of an engine over the mean of its pool, as
 	// the entries see it, while the mean is at least one request.
 	SkewP50 float64 `json:"skew_p50"`
@@ -70,11 +70,11 @@
 }
 
 const (
-	histHigh   = 600_000_000
-	histDigits = 3
+	maxLatencyMicros = 600_000_000
+	latencyDigits    = 3
 )
 
-func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, histHigh, histDigits) }
+func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, latencyDigits) }
 
 func latencyOf(h *hdrhistogram.Histogram) Latency {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
@@ -86,8 +86,8 @@
 	id, turn, workspace int
 	messages            []message
 	// left is the prompt and answer of the latest turn, in tokens.
-	left int
-	due  clock.Millis
+	previousTokens int
+	returnAt       clock.Millis
 }
 
 type runner struct {
@@ -95,14 +95,14 @@
 	http *http.Client
 	zipf *rand.Zipf
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	waiting chatHeap
-	rep     Report
-	turns   []trace.Turn
-	cached  int
-	shared  int
-	chats   int
+	mu        sync.Mutex
+	rnd       *rand.Rand
+	idleChats chatHeap
+	rep       Report
+	turns     []trace.Turn
+	cached    int
+	shared    int
+	chats     int
 
 	first, between, total, skew *hdrhistogram.Histogram
 }
@@ -126,17 +126,17 @@
 	var watch sync.WaitGroup
 	watch.Go(func() { r.watchSkew(watchCtx) })
 	start := cfg.Clock.Now()
-	r.arrive(ctx, start)
+	r.sendArrivals(ctx, start)
 	stopWatch()
 	watch.Wait()
 	r.finish(before, cfg.Clock.Now()-start)
-	slices.SortFunc(r.turns, func(a, b trace.Turn) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(r.turns, func(a, b trace.Turn) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	return r.rep, r.turns, nil
 }
 
 // arrive sends turns at the rate, as a Poisson process: a chat that is due to
 // return if there is one, else a new one.
-func (r *runner) arrive(ctx context.Context, start clock.Millis) {
+func (r *runner) sendArrivals(ctx context.Context, start clock.Millis) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	slots := make(chan struct{}, max(1, r.cfg.MaxInFlight))
@@ -162,7 +162,7 @@
 		c := r.nextChat()
 		wg.Go(func() {
 			defer func() { <-slots }()
-			r.turn(ctx, c, r.cfg.URLs[n%len(r.cfg.URLs)], r.cfg.Clock.Now()-start)
+			r.runTurn(ctx, c, r.cfg.URLs[n%len(r.cfg.URLs)], r.cfg.Clock.Now()-start)
 		})
 	}
 }
@@ -170,48 +170,48 @@
 func (r *runner) nextChat() *chatState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.waiting) > 0 && r.waiting[0].due <= r.cfg.Clock.Now() {
-		return heap.Pop(&r.waiting).(*chatState)
+	if len(r.idleChats) > 0 && r.idleChats[0].returnAt <= r.cfg.Clock.Now() {
+		return heap.Pop(&r.idleChats).(*chatState)
 	}
 	r.chats++
 	return &chatState{id: r.chats, workspace: workspace(r.zipf)}
 }
 
-func (r *runner) turn(ctx context.Context, c *chatState, url string, at clock.Millis) {
+func (r *runner) runTurn(ctx context.Context, c *chatState, url string, at clock.Millis) {
 	s := r.cfg.Shape
 	r.mu.Lock()
 	size := s.TurnTokens
 	if c.turn == 0 {
 		size = s.OpeningTokens
 	}
-	c.messages = append(c.messages, message{"user", text(r.rnd, s.tokens(r.rnd, size))})
+	c.messages = append(c.messages, message{"user", randomText(r.rnd, s.tokens(r.rnd, size))})
 	out := s.output(r.rnd)
 	r.mu.Unlock()
-	res := ask(ctx, r.http, r.cfg.Clock, url, r.cfg.Keys[c.workspace], chatRequest{
-		Model: r.cfg.Model, Stream: true, MaxTokens: out, Messages: c.messages, StreamOptions: &options{true},
+	res := sendTurn(ctx, r.http, r.cfg.Clock, url, r.cfg.Keys[c.workspace], chatRequest{
+		Model: r.cfg.Model, Stream: true, MaxTokens: out, Messages: c.messages, StreamOptions: &streamOptions{true},
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count(c, res)
-	if !res.whole {
+	r.recordResponse(c, res)
+	if !res.complete {
 		return
 	}
-	r.turns = append(r.turns, trace.Turn{At: at, Chat: c.id, Number: c.turn, Workspace: c.workspace, Prompt: res.prompt, Shared: min(c.left, res.prompt), Output: res.tokens})
+	r.turns = append(r.turns, trace.Turn{Arrival: at, Chat: c.id, Number: c.turn, Workspace: c.workspace, PromptTokens: res.prompt, SharedTokens: min(c.previousTokens, res.prompt), OutputTokens: res.tokens})
 	if c.turn > 0 {
 		r.rep.Returning++
-		r.cached += min(res.cached, c.left)
-		r.shared += c.left
+		r.cached += min(res.cached, c.previousTokens)
+		r.shared += c.previousTokens
 	}
 	c.turn++
-	c.left = res.prompt + 1 + len(res.content)/4
+	c.previousTokens = res.prompt + 1 + len(res.content)/4
 	c.messages = append(c.messages, message{"assistant", res.content})
-	if r.rnd.Float64() < s.Return && res.prompt < maxPromptTokens {
-		c.due = r.cfg.Clock.Now() + s.pause(r.rnd)
-		heap.Push(&r.waiting, c)
+	if r.rnd.Float64() < s.ReturnProbability && res.prompt < maxPromptTokens {
+		c.returnAt = r.cfg.Clock.Now() + s.pause(r.rnd)
+		heap.Push(&r.idleChats, c)
 	}
 }
 
-func (r *runner) count(_ *chatState, res reply) {
+func (r *runner) recordResponse(_ *chatState, res response) {
 	r.rep.Requests++
 	v := res.verdict
 	if v == "" {
@@ -219,8 +219,8 @@
 	}
 	r.rep.Verdicts[v]++
 	switch {
-	case res.whole:
-		r.rep.Whole++
+	case res.complete:
+		r.rep.Complete++
 		_ = r.first.RecordValue(res.firstMicros)
 		_ = r.between.RecordValue(res.gapMicros)
 		_ = r.total.RecordValue(res.totalMicros)
@@ -232,7 +232,7 @@
 }
 
 func (r *runner) finish(before map[string]float64, took clock.Millis) {
-	r.rep.First, r.rep.Between, r.rep.Total = latencyOf(r.first), latencyOf(r.between), latencyOf(r.total)
+	r.rep.FirstToken, r.rep.BetweenTokens, r.rep.Total = latencyOf(r.first), latencyOf(r.between), latencyOf(r.total)
 	if r.shared > 0 {
 		r.rep.Reuse = float64(r.cached) / float64(r.shared)
 	}
@@ -248,8 +248,8 @@
 // WriteText writes the report for a person.
 func (r Report) WriteText(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "requests        %d, %d whole, %d dropped by the client\nverdicts        %v %v\ncache reuse     %.1f%% of %d returning turns' shared tokens\nfirst token     p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nbetween tokens  p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\ntotal           p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nskew            p50 %.2f  p99 %.2f  max %.2f\ncontrol B/s     %v\n",
-		r.Requests, r.Whole, r.Dropped, r.Verdicts, r.Reasons, 100*r.Reuse, r.Returning,
-		r.First.P50, r.First.P95, r.First.P99, r.Between.P50, r.Between.P95, r.Between.P99,
+		r.Requests, r.Complete, r.Dropped, r.Verdicts, r.Reasons, 100*r.Reuse, r.Returning,
+		r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.BetweenTokens.P50, r.BetweenTokens.P95, r.BetweenTokens.P99,
 		r.Total.P50, r.Total.P95, r.Total.P99, r.SkewP50, r.SkewP99, r.SkewMax, roundAll(r.ControlBytesPerSecond))
 	return err
 }
@@ -273,7 +273,7 @@
 var _ heap.Interface = (*chatHeap)(nil)
 
 func (h chatHeap) Len() int           { return len(h) }
-func (h chatHeap) Less(i, j int) bool { return h[i].due < h[j].due }
+func (h chatHeap) Less(i, j int) bool { return h[i].returnAt < h[j].returnAt }
 func (h chatHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
--- a/measure/load/watch.go
+++ b/measure/load/watch.go
@@ -18,23 +18,23 @@
 
 // watchSkew reads the engines' loads from the pages until ctx is done.
 func (r *runner) watchSkew(ctx context.Context) {
-	if len(r.cfg.Pages) == 0 {
+	if len(r.cfg.AdminURLs) == 0 {
 		return
 	}
 	clock.Every(ctx, watchPeriod, func() {
-		for _, ratio := range r.skews() {
+		for _, ratio := range r.skewRatios() {
 			_ = r.skew.RecordValue(int64(ratio * skewScale))
 		}
 	})
 }
 
 // skews returns highest over mean of each pool whose mean is at least one.
-func (r *runner) skews() []float64 {
+func (r *runner) skewRatios() []float64 {
 	var engines []struct {
 		Pool     string `json:"pool"`
 		Requests int    `json:"requests"`
 	}
-	body := r.page("/engines")
+	body := r.fetchAdmin("/engines")
 	if json.Unmarshal([]byte(body), &engines) != nil {
 		return nil
 	}
@@ -59,8 +59,8 @@
 	return out
 }
 
-func (r *runner) page(path string) string {
-	res, err := r.http.Get(strings.TrimSuffix(r.cfg.Pages[0], "/") + path)
+func (r *runner) fetchAdmin(path string) string {
+	res, err := r.http.Get(strings.TrimSuffix(r.cfg.AdminURLs[0], "/") + path)
 	if err != nil {
 		return ""
 	}
@@ -72,10 +72,10 @@
 // controlBytes reads the control bytes by direction and kind.
 func (r *runner) controlBytes() map[string]float64 {
 	out := map[string]float64{}
-	if len(r.cfg.Pages) == 0 {
+	if len(r.cfg.AdminURLs) == 0 {
 		return out
 	}
-	for line := range strings.SplitSeq(r.page("/metrics"), "\n") {
+	for line := range strings.SplitSeq(r.fetchAdmin("/metrics"), "\n") {
 		name, value, ok := strings.Cut(line, " ")
 		if !ok || !strings.HasPrefix(name, "weldfall_control_bytes_total{") {
 			continue
--- a/measure/replay/alone.go
+++ b/measure/replay/alone.go
@@ -12,20 +12,20 @@
 // Alone runs the choice of package engines: each entry sends by what it believes, no
 // process stands beside an engine, and loads come with the heads of answers and from
 // other entries.
-type Alone struct {
+type EntriesOnly struct {
 	// Moves lets the chosen engine have what the choice names as a source keeps of
 	// the chat, at no cost in time.
-	Moves bool
+	PrefixTransfer bool
 
-	books []*engines.Registry
-	rnd   *rand.Rand
+	registries []*engines.Registry
+	rnd        *rand.Rand
 	// talked is when entries last told each other of loads.
-	talked clock.Millis
+	lastGossip clock.Millis
 }
 
 // Name implements Policy.
-func (a *Alone) Name() string {
-	if a.Moves {
+func (a *EntriesOnly) Name() string {
+	if a.PrefixTransfer {
 		return "entries alone, moves"
 	}
 	return "entries alone"
@@ -33,45 +33,45 @@
 
 const (
 	// aloneTries is how many engines a turn is sent to at most.
-	aloneTries = 6
+	entriesOnlyMaxTries = 6
 	// talkPeriod is how often entries tell each other of loads, freshLoad how old
 	// word of one may be.
-	talkPeriod clock.Millis = 400
-	freshLoad  clock.Millis = 2000
+	loadGossipPeriod clock.Millis = 400
+	maxLoadAge       clock.Millis = 2000
 	// muchSilence is longer than any turn: engines of a replay do not fall silent.
-	muchSilence clock.Millis = 1 << 40
+	silenceLimit clock.Millis = 1 << 40
 )
 
-func (a *Alone) prepare(p *pool) {
-	if a.books == nil {
+func (a *EntriesOnly) prepare(p *pool) {
+	if a.registries == nil {
 		a.rnd = rand.New(rand.NewPCG(p.cfg.Seed, 11))
 		for range p.cfg.Entries {
-			a.books = append(a.books, engines.NewRegistry())
+			a.registries = append(a.registries, engines.NewRegistry())
 		}
 	}
-	for i, b := range a.books {
-		for _, e := range p.seen[i] {
+	for i, b := range a.registries {
+		for _, e := range p.listed[i] {
 			if b.Get(e.id) == nil {
 				b.Put(engines.Info{ID: e.id, Addr: e.id, Service: poolName, Slots: e.slots}, p.now)
 			}
 		}
 		for _, id := range b.IDs() {
-			if !slices.ContainsFunc(p.seen[i], func(e *eng) bool { return e.id == id }) {
+			if !slices.ContainsFunc(p.listed[i], func(e *engine) bool { return e.id == id }) {
 				b.Remove(id)
 			}
 		}
 	}
-	if p.now-a.talked >= talkPeriod {
-		a.talked = p.now
-		a.talk(p)
+	if p.now-a.lastGossip >= loadGossipPeriod {
+		a.lastGossip = p.now
+		a.gossipLoads(p)
 	}
 }
 
 // talk has each entry tell all others what it knows of loads.
-func (a *Alone) talk(p *pool) {
-	for i, from := range a.books {
-		for _, l := range from.RecentLoads(freshLoad, p.cfg.Engines, p.now) {
-			for k, to := range a.books {
+func (a *EntriesOnly) gossipLoads(p *pool) {
+	for i, from := range a.registries {
+		for _, l := range from.RecentLoads(maxLoadAge, p.cfg.Engines, p.now) {
+			for k, to := range a.registries {
 				if e := to.Get(l.ID); k != i && e != nil {
 					e.RecordLoad(engines.Load{Running: l.Requests}, p.now-l.Age)
 				}
@@ -80,12 +80,12 @@
 	}
 }
 
-func (a *Alone) choose(p *pool, entry int, t trace.Turn) (*eng, int) {
+func (a *EntriesOnly) choose(p *pool, entry int, t trace.Turn) (*engine, int) {
 	a.prepare(p)
-	b := a.books[entry]
+	b := a.registries[entry]
 	bound, slack := engines.AffinityBound(p.cfg.Bound)
-	q := engines.Query{Service: poolName, Keys: []uint64{p.key(t)}, Tokens: t.Prompt, Bound: bound, Slack: slack, MaxSilence: muchSilence, Random: a.rnd.Float64()}
-	for len(q.Tried) < aloneTries {
+	q := engines.Query{Service: poolName, Keys: []uint64{p.key(t)}, Tokens: t.PromptTokens, Bound: bound, Slack: slack, MaxSilence: silenceLimit, Random: a.rnd.Float64()}
+	for len(q.Tried) < entriesOnlyMaxTries {
 		c, ok := b.Choose(q, p.now)
 		if !ok {
 			break
@@ -94,14 +94,14 @@
 		q.Tried = append(q.Tried, e.id)
 		c.Engine.BeginRequest(p.now)
 		switch {
-		case e.gone:
+		case e.stopped:
 			c.Engine.EndRequest(engines.Unreachable, p.now)
-		case e.leaving:
+		case e.draining:
 			c.Engine.EndRequest(engines.Refused, p.now)
 		default:
 			c.Engine.RecordLoad(engines.Load{Running: e.running + 1}, p.now)
-			if a.Moves && c.Source != nil {
-				p.find(c.Source.Info().ID).copyTo(e, t.Chat)
+			if a.PrefixTransfer && c.Source != nil {
+				p.find(c.Source.Info().ID).copyPrefix(e, t.Chat)
 			}
 			return e, len(q.Tried)
 		}
@@ -110,14 +110,14 @@
 }
 
 // copyTo brings another engine what this one keeps of a chat, if that is more.
-func (e *eng) copyTo(to *eng, chat int) {
-	if n := e.cache.size[chat]; !e.gone && n > to.cache.size[chat] {
+func (e *engine) copyPrefix(to *engine, chat int) {
+	if n := e.cache.size[chat]; !e.stopped && n > to.cache.size[chat] {
 		to.cache.put(chat, n)
 	}
 }
 
-func (a *Alone) ran(p *pool, entry int, _ trace.Turn, e *eng) {
-	if believed := a.books[entry].Get(e.id); believed != nil {
+func (a *EntriesOnly) turnFinished(p *pool, entry int, _ trace.Turn, e *engine) {
+	if believed := a.registries[entry].Get(e.id); believed != nil {
 		believed.EndRequest(engines.Succeeded, p.now)
 	}
 }
--- a/measure/replay/policy.go
+++ b/measure/replay/policy.go
@@ -14,7 +14,7 @@
 	loads []*route.Loads
 	hints []map[int]string
 	// gossip is when the loads were last spread.
-	gossip clock.Millis
+	lastGossip clock.Millis
 }
 
 // Name implements Policy.
@@ -33,10 +33,10 @@
 			w.hints = append(w.hints, map[int]string{})
 		}
 	}
-	if p.now-w.gossip < gossipPeriod {
+	if p.now-w.lastGossip < gossipPeriod {
 		return
 	}
-	w.gossip = p.now
+	w.lastGossip = p.now
 	for _, l := range w.loads {
 		for _, e := range p.engines {
 			l.Sample(e.id, e.reported(p.now-p.cfg.ReportLag), p.now-p.cfg.ReportLag)
@@ -44,7 +44,7 @@
 	}
 }
 
-func targetsOf(engines []*eng) []route.Target {
+func targetsOf(engines []*engine) []route.Target {
 	out := make([]route.Target, len(engines))
 	for i, e := range engines {
 		out[i] = route.NewTarget(e.id, e.slots)
@@ -52,9 +52,9 @@
 	return out
 }
 
-func (w *Weldfall) choose(p *pool, entry int, t trace.Turn) (*eng, int) {
+func (w *Weldfall) choose(p *pool, entry int, t trace.Turn) (*engine, int) {
 	w.prepare(p)
-	targets := targetsOf(p.members(entry))
+	targets := targetsOf(p.candidates(entry))
 	loads := w.loads[entry]
 	q := route.Query{Key: p.key(t), Affine: true, Returning: t.Number > 0, Hint: w.hints[entry][t.Chat], Bound: p.cfg.Bound, Floor: p.cfg.Floor, MaxTries: maxTries}
 	var tries []route.Try
@@ -67,7 +67,7 @@
 		e := p.find(s.Engine)
 		try := route.Try{Engine: s.Engine, Mode: s.Mode}
 		loads.RecordSent(e.id)
-		if e.gone {
+		if e.stopped {
 			p.views[entry].MarkUnreachable(e.id, p.now)
 			loads.RecordEnded(e.id)
 			tries = append(tries, try)
@@ -79,10 +79,10 @@
 		}
 		ans := route.Decide(
 			route.Offer{Chat: q.Key, Mode: s.Mode},
-			route.State{Engine: e.id, Requests: e.running, Slots: e.slots, Mean: perSlot, Engines: len(targets), Bound: p.cfg.Bound, Floor: p.cfg.Floor, Draining: e.leaving},
-			e.book)
-		p.passOn(loads, e.loads, e.id)
-		p.passOn(e.loads, loads, e.id)
+			route.State{Engine: e.id, Requests: e.running, Slots: e.slots, Mean: perSlot, Engines: len(targets), Bound: p.cfg.Bound, Floor: p.cfg.Floor, Draining: e.draining},
+			e.index)
+		p.shareLoads(loads, e.loads, e.id)
+		p.shareLoads(e.loads, loads, e.id)
 		if _, admitted := ans.(route.Admit); !admitted {
 			loads.RecordEnded(e.id)
 			loads.ObserveRefusal(e.id, e.running, p.now)
@@ -103,7 +103,7 @@
 
 // passOn hands the freshest loads on, as requests and answers do; that of the
 // engine itself comes apart.
-func (p *pool) passOn(from, to *route.Loads, self string) {
+func (p *pool) shareLoads(from, to *route.Loads, self string) {
 	for _, l := range from.Freshest(route.MaxAttachedLoads, p.now) {
 		if l.Engine != self {
 			to.Sample(l.Engine, l.Requests, p.now-l.Age)
@@ -111,7 +111,7 @@
 	}
 }
 
-func nextOf(key uint64, targets []route.Target, engine string) string {
+func nextRanked(key uint64, targets []route.Target, engine string) string {
 	for _, i := range route.Rank(key, targets, 2) {
 		if targets[i].ID() != engine {
 			return targets[i].ID()
@@ -120,37 +120,37 @@
 	return ""
 }
 
-func (p *pool) find(id string) *eng {
-	return p.engines[slices.IndexFunc(p.engines, func(e *eng) bool { return e.id == id })]
+func (p *pool) find(id string) *engine {
+	return p.engines[slices.IndexFunc(p.engines, func(e *engine) bool { return e.id == id })]
 }
 
-func (w *Weldfall) ran(p *pool, entry int, t trace.Turn, e *eng) {
+func (w *Weldfall) turnFinished(p *pool, entry int, t trace.Turn, e *engine) {
 	key := p.key(t)
-	e.book.RecordTurn(key, t.Prompt+t.Output, p.now)
+	e.index.RecordTurn(key, t.PromptTokens+t.OutputTokens, p.now)
 	w.hints[entry][t.Chat] = e.id
 	w.loads[entry].RecordEnded(e.id)
 	w.loads[entry].Sample(e.id, e.running, p.now)
-	targets := targetsOf(p.members(entry))
+	targets := targetsOf(p.candidates(entry))
 	if top := route.Rank(key, targets, 1); len(top) > 0 && targets[top[0]].ID() != e.id {
-		p.find(targets[top[0]].ID()).book.RecordPlacement(key, e.id)
+		p.find(targets[top[0]].ID()).index.RecordPlacement(key, e.id)
 	}
 }
 
 // leave hands the cached prefixes to where their chats go next.
-func (w *Weldfall) leave(p *pool, old *eng) {
-	var rest []*eng
+func (w *Weldfall) handOver(p *pool, old *engine) {
+	var rest []*engine
 	for _, e := range p.alive() {
-		if !e.leaving {
+		if !e.draining {
 			rest = append(rest, e)
 		}
 	}
 	targets := targetsOf(rest)
 	for _, chat := range slices.Clone(old.cache.order) {
 		key := p.key(trace.Turn{Chat: chat})
-		to := p.find(nextOf(key, targets, old.id))
+		to := p.find(nextRanked(key, targets, old.id))
 		tokens := old.cache.size[chat]
 		to.cache.put(chat, tokens)
-		to.book.RecordTurn(key, tokens, p.now)
+		to.index.RecordTurn(key, tokens, p.now)
 	}
 }
 
@@ -158,20 +158,20 @@
 // most of it is cached, if that engine is within the bound, else to the least
 // loaded. On a planned leave it moves each prefix to the engine with the most
 // free cache memory.
-type AllKnowing struct{}
+type Omniscient struct{}
 
 // Name implements Policy.
-func (AllKnowing) Name() string { return "all-knowing" }
+func (Omniscient) Name() string { return "all-knowing" }
 
-func (AllKnowing) choose(p *pool, _ int, t trace.Turn) (*eng, int) {
-	live := slices.DeleteFunc(p.alive(), func(e *eng) bool { return e.leaving })
+func (Omniscient) choose(p *pool, _ int, t trace.Turn) (*engine, int) {
+	live := slices.DeleteFunc(p.alive(), func(e *engine) bool { return e.draining })
 	total, slots := 0, 0
 	for _, e := range live {
 		total += e.running
 		slots += e.slots
 	}
 	mean := float64(total) / float64(slots)
-	var best, least *eng
+	var best, least *engine
 	for _, e := range live {
 		if least == nil || float64(e.running)/float64(e.slots) < float64(least.running)/float64(least.slots) {
 			least = e
@@ -187,13 +187,13 @@
 	return least, 1
 }
 
-func (AllKnowing) ran(*pool, int, trace.Turn, *eng) {}
+func (Omniscient) turnFinished(*pool, int, trace.Turn, *engine) {}
 
-func (AllKnowing) leave(p *pool, old *eng) {
+func (Omniscient) handOver(p *pool, old *engine) {
 	for _, chat := range slices.Clone(old.cache.order) {
-		var to *eng
+		var to *engine
 		for _, e := range p.alive() {
-			if !e.leaving && (to == nil || e.cache.tokens < to.cache.tokens) {
+			if !e.draining && (to == nil || e.cache.tokens < to.cache.tokens) {
 				to = e
 			}
 		}
@@ -207,17 +207,17 @@
 // Name implements Policy.
 func (PlainHash) Name() string { return "plain hash" }
 
-func (PlainHash) choose(p *pool, entry int, t trace.Turn) (*eng, int) {
+func (PlainHash) choose(p *pool, entry int, t trace.Turn) (*engine, int) {
 	live := p.usable(entry)
 	return live[route.Rank(p.key(t), targetsOf(live), 1)[0]], 1
 }
 
-func (PlainHash) ran(*pool, int, trace.Turn, *eng) {}
+func (PlainHash) turnFinished(*pool, int, trace.Turn, *engine) {}
 
 // usable lists what an entry sees and that still runs: the baselines find a
 // dead engine out at once and at no cost.
-func (p *pool) usable(entry int) []*eng {
-	return slices.DeleteFunc(slices.Clone(p.seen[entry]), func(e *eng) bool { return e.gone })
+func (p *pool) usable(entry int) []*engine {
+	return slices.DeleteFunc(slices.Clone(p.listed[entry]), func(e *engine) bool { return e.stopped })
 }
 
 // RoundRobin takes the engines in turn, at each entry.
@@ -226,7 +226,7 @@
 // Name implements Policy.
 func (*RoundRobin) Name() string { return "round robin" }
 
-func (r *RoundRobin) choose(p *pool, entry int, _ trace.Turn) (*eng, int) {
+func (r *RoundRobin) choose(p *pool, entry int, _ trace.Turn) (*engine, int) {
 	if r.next == nil {
 		r.next = make([]int, p.cfg.Entries)
 	}
@@ -235,7 +235,7 @@
 	return live[r.next[entry]%len(live)], 1
 }
 
-func (*RoundRobin) ran(*pool, int, trace.Turn, *eng) {}
+func (*RoundRobin) turnFinished(*pool, int, trace.Turn, *engine) {}
 
 // LeastReported takes the engine with the least reported load.
 type LeastReported struct{}
@@ -243,15 +243,15 @@
 // Name implements Policy.
 func (LeastReported) Name() string { return "least reported" }
 
-func (LeastReported) choose(p *pool, entry int, _ trace.Turn) (*eng, int) {
+func (LeastReported) choose(p *pool, entry int, _ trace.Turn) (*engine, int) {
 	live := p.usable(entry)
 	at := (p.now - p.cfg.ReportLag) / gossipPeriod * gossipPeriod
-	return slices.MinFunc(live, func(a, b *eng) int {
+	return slices.MinFunc(live, func(a, b *engine) int {
 		return a.reported(at)*b.slots - b.reported(at)*a.slots
 	}), 1
 }
 
-func (LeastReported) ran(*pool, int, trace.Turn, *eng) {}
+func (LeastReported) turnFinished(*pool, int, trace.Turn, *engine) {}
 
 // TwoChoices takes the less loaded, by report, of two random engines.
 type TwoChoices struct{}
@@ -259,7 +259,7 @@
 // Name implements Policy.
 func (TwoChoices) Name() string { return "two choices" }
 
-func (TwoChoices) choose(p *pool, entry int, _ trace.Turn) (*eng, int) {
+func (TwoChoices) choose(p *pool, entry int, _ trace.Turn) (*engine, int) {
 	live := p.usable(entry)
 	a, b := live[p.rnd.IntN(len(live))], live[p.rnd.IntN(len(live))]
 	at := (p.now - p.cfg.ReportLag) / gossipPeriod * gossipPeriod
@@ -269,4 +269,4 @@
 	return a, 1
 }
 
-func (TwoChoices) ran(*pool, int, trace.Turn, *eng) {}
+func (TwoChoices) turnFinished(*pool, int, trace.Turn, *engine) {}
--- a/measure/replay/replay.go
+++ b/measure/replay/replay.go
@@ -24,12 +24,12 @@
 	// CacheTokens is the memory of one engine in tokens.
 	CacheTokens int
 	// PrefillPerMS and TokenGap give the time that a turn runs.
-	PrefillPerMS int
-	TokenGap     clock.Millis
+	PrefillTokensPerMS int
+	TokenGap           clock.Millis
 	// Replace is the time between replacements of one engine, zero for none;
 	// Notice is how long before its end an engine is known to leave, zero for
 	// an engine that fails.
-	Replace, Notice clock.Millis
+	ReplacePeriod, DrainNotice clock.Millis
 	// ListLag is how late entries hear of a change, at most; each change
 	// reaches each entry after a random part of it.
 	ListLag clock.Millis
@@ -39,15 +39,15 @@
 	Bound float64
 	Floor int
 	// Unequal gives every third engine half the slots.
-	Unequal bool
+	UnequalSlots bool
 	// HalfGone takes half of the engines away at this time, zero for never.
-	HalfGone clock.Millis
+	HalfLostAt clock.Millis
 	// Split cuts the entries in two groups at this time: each sees only half
 	// of the engines from then on, zero for never.
-	Split clock.Millis
+	SplitAt clock.Millis
 	// Flap makes one engine leave the list and return every so often.
-	Flap clock.Millis
-	Seed uint64
+	FlapPeriod clock.Millis
+	Seed       uint64
 }
 
 // Outcome is the measures of one run.
@@ -67,32 +67,32 @@
 }
 
 // eng is one engine as it really is.
-type eng struct {
-	id      string
-	slots   int
-	running int
-	book    *route.CacheIndex
-	cache   *lru
-	gone    bool
-	leaving bool
-	joined  clock.Millis
+type engine struct {
+	id       string
+	slots    int
+	running  int
+	index    *route.CacheIndex
+	cache    *lru
+	stopped  bool
+	draining bool
+	joined   clock.Millis
 	// history has the load at past times for lagged reports.
-	history []loadAt
+	history []loadSample
 	// loads is what the daemon beside the engine knows of the others.
 	loads *route.Loads
 }
 
-type loadAt struct {
+type loadSample struct {
 	at       clock.Millis
 	requests int
 }
 
-func (e *eng) note(now clock.Millis) {
-	e.history = append(e.history, loadAt{now, e.running})
+func (e *engine) recordLoad(now clock.Millis) {
+	e.history = append(e.history, loadSample{now, e.running})
 }
 
 // reported returns the load at the given time and drops what is older.
-func (e *eng) reported(at clock.Millis) int {
+func (e *engine) reported(at clock.Millis) int {
 	i := 0
 	for i+1 < len(e.history) && e.history[i+1].at <= at {
 		i++
@@ -132,47 +132,47 @@
 }
 
 // happening is something that takes place at a time.
-type happening struct {
+type event struct {
 	at  clock.Millis
 	seq int
 	do  func()
 }
 
-type agenda struct {
-	list []happening
+type eventQueue struct {
+	list []event
 	seq  int
 }
 
-var _ heap.Interface = (*agenda)(nil)
+var _ heap.Interface = (*eventQueue)(nil)
 
-func (a agenda) Len() int { return len(a.list) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a.list) }
+func (a eventQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(a.list[i].at, a.list[j].at), cmp.Compare(a.list[i].seq, a.list[j].seq)) < 0
 }
-func (a agenda) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
+func (a eventQueue) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(x any) { a.list = append(a.list, x.(happening)) }
+func (a *eventQueue) Push(x any) { a.list = append(a.list, x.(event)) }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
+func (a *eventQueue) Pop() any {
 	h := a.list[len(a.list)-1]
 	a.list = a.list[:len(a.list)-1]
 	return h
 }
 
-func (a *agenda) add(at clock.Millis, do func()) {
+func (a *eventQueue) schedule(at clock.Millis, do func()) {
 	a.seq++
-	heap.Push(a, happening{at, a.seq, do})
+	heap.Push(a, event{at, a.seq, do})
 }
 
 // Policy chooses the engine of a turn; nil sheds it. It is one of the types
 // of this package.
 type Policy interface {
 	Name() string
-	choose(p *pool, entry int, t trace.Turn) (e *eng, tries int)
-	// ran is told of a finished turn.
-	ran(p *pool, entry int, t trace.Turn, e *eng)
+	choose(p *pool, entry int, t trace.Turn) (e *engine, tries int)
+	// turnFinished is called at the end of each turn.
+	turnFinished(p *pool, entry int, t trace.Turn, e *engine)
 }
 
 // pool is the state of one run.
@@ -180,10 +180,10 @@
 	cfg     Config
 	now     clock.Millis
 	rnd     *rand.Rand
-	engines []*eng
-	agenda  agenda
+	engines []*engine
+	events  eventQueue
 	// seen has the engines that each entry knows of, by the list alone.
-	seen [][]*eng
+	listed [][]*engine
 	// views are the same with what weldfall makes of it.
 	views  []*member.View
 	policy Policy
@@ -193,45 +193,45 @@
 func (p *pool) key(t trace.Turn) uint64 { return uint64(t.Chat)*0x9e3779b97f4a7c15 + 1 }
 
 // alive lists the engines that run, leaving ones included.
-func (p *pool) alive() []*eng {
-	return slices.DeleteFunc(slices.Clone(p.engines), func(e *eng) bool { return e.gone })
+func (p *pool) alive() []*engine {
+	return slices.DeleteFunc(slices.Clone(p.engines), func(e *engine) bool { return e.stopped })
 }
 
-func (p *pool) join() *eng {
+func (p *pool) join() *engine {
 	slots := p.cfg.Slots
-	if p.cfg.Unequal && p.next%3 == 0 {
+	if p.cfg.UnequalSlots && p.next%3 == 0 {
 		slots = max(1, slots/2)
 	}
-	e := &eng{id: fmt.Sprint("engine-", p.next), slots: slots, book: route.NewCacheIndex(p.cfg.CacheTokens), cache: newLRU(p.cfg.CacheTokens), joined: p.now, loads: route.NewLoads()}
+	e := &engine{id: fmt.Sprint("engine-", p.next), slots: slots, index: route.NewCacheIndex(p.cfg.CacheTokens), cache: newLRU(p.cfg.CacheTokens), joined: p.now, loads: route.NewLoads()}
 	p.next++
 	p.engines = append(p.engines, e)
 	return e
 }
 
 // tell brings a change of the list to each entry after a random lag.
-func (p *pool) tell(change func(entry int)) {
-	for i := range p.seen {
+func (p *pool) notifyEntries(change func(entry int)) {
+	for i := range p.listed {
 		lag := clock.Millis(0)
 		if p.cfg.ListLag > 0 {
 			lag = clock.Millis(p.rnd.Int64N(int64(p.cfg.ListLag)))
 		}
-		p.agenda.add(p.now+lag, func() { change(i) })
+		p.events.schedule(p.now+lag, func() { change(i) })
 	}
 }
 
-func (p *pool) see(e *eng) { p.tell(func(i int) { p.list(i, e) }) }
+func (p *pool) announceListed(e *engine) { p.notifyEntries(func(i int) { p.list(i, e) }) }
 
-func (p *pool) list(entry int, e *eng) {
-	p.seen[entry] = append(p.seen[entry], e)
+func (p *pool) list(entry int, e *engine) {
+	p.listed[entry] = append(p.listed[entry], e)
 	p.views[entry].SetListed(member.Instance{
 		ID: e.id, Role: member.Daemon, Pool: poolName, State: member.Live, Engines: []member.EngineInfo{{ID: e.id, Slots: e.slots}},
 	}, p.now)
 }
 
-func (p *pool) unsee(e *eng) { p.tell(func(i int) { p.drop(i, e) }) }
+func (p *pool) announceUnlisted(e *engine) { p.notifyEntries(func(i int) { p.unlist(i, e) }) }
 
-func (p *pool) drop(entry int, e *eng) {
-	p.seen[entry] = slices.DeleteFunc(p.seen[entry], func(x *eng) bool { return x == e })
+func (p *pool) unlist(entry int, e *engine) {
+	p.listed[entry] = slices.DeleteFunc(p.listed[entry], func(x *engine) bool { return x == e })
 	p.views[entry].SetUnlisted(e.id, p.now)
 }
 
@@ -239,8 +239,8 @@
 const poolName = "pool"
 
 // members lists the engines that an entry may send new work to.
-func (p *pool) members(entry int) []*eng {
-	var out []*eng
+func (p *pool) candidates(entry int) []*engine {
+	var out []*engine
 	for _, in := range p.views[entry].Candidates(poolName, p.now) {
 		out = append(out, p.find(in.ID))
 	}
@@ -250,89 +250,89 @@
 // replace takes the oldest engine out, with notice if there is any, and
 // brings a new one in.
 func (p *pool) replace() {
-	p.agenda.add(p.now+p.cfg.Replace, p.replace)
-	live := slices.DeleteFunc(p.alive(), func(e *eng) bool { return e.leaving })
+	p.events.schedule(p.now+p.cfg.ReplacePeriod, p.replace)
+	live := slices.DeleteFunc(p.alive(), func(e *engine) bool { return e.draining })
 	old := live[0]
 	for _, e := range live {
 		if e.joined < old.joined {
 			old = e
 		}
 	}
-	old.leaving = p.cfg.Notice > 0
-	p.unsee(old)
-	if h, ok := p.policy.(handover); ok && p.cfg.Notice > 0 {
-		h.leave(p, old)
+	old.draining = p.cfg.DrainNotice > 0
+	p.announceUnlisted(old)
+	if h, ok := p.policy.(handover); ok && p.cfg.DrainNotice > 0 {
+		h.handOver(p, old)
 	}
-	p.agenda.add(p.now+p.cfg.Notice, func() { old.gone = true })
-	p.see(p.join())
+	p.events.schedule(p.now+p.cfg.DrainNotice, func() { old.stopped = true })
+	p.announceListed(p.join())
 }
 
 // handover is a policy that moves cached prefixes on a planned leave.
-type handover interface{ leave(p *pool, old *eng) }
+type handover interface{ handOver(p *pool, old *engine) }
 
 // troubles schedules what the configuration asks for.
-func (p *pool) troubles() {
-	if p.cfg.Replace > 0 {
-		p.agenda.add(p.cfg.Replace, p.replace)
+func (p *pool) scheduleDisturbances() {
+	if p.cfg.ReplacePeriod > 0 {
+		p.events.schedule(p.cfg.ReplacePeriod, p.replace)
 	}
-	if p.cfg.HalfGone > 0 {
-		p.agenda.add(p.cfg.HalfGone, func() {
+	if p.cfg.HalfLostAt > 0 {
+		p.events.schedule(p.cfg.HalfLostAt, func() {
 			for _, e := range p.engines[:len(p.engines)/2] {
-				e.gone = true
-				p.unsee(e)
+				e.stopped = true
+				p.announceUnlisted(e)
 			}
 		})
 	}
-	if p.cfg.Split > 0 {
-		p.agenda.add(p.cfg.Split, func() {
+	if p.cfg.SplitAt > 0 {
+		p.events.schedule(p.cfg.SplitAt, func() {
 			half := len(p.engines) / 2
-			for i := range p.seen {
+			for i := range p.listed {
 				lost := p.engines[:half]
 				if i%2 == 0 {
 					lost = p.engines[half:]
 				}
 				for _, e := range lost {
-					p.drop(i, e)
+					p.unlist(i, e)
 				}
 			}
 		})
 	}
-	if p.cfg.Flap > 0 {
+	if p.cfg.FlapPeriod > 0 {
 		var flap func()
 		flap = func() {
 			e := p.engines[0]
-			p.unsee(e)
-			p.agenda.add(p.now+p.cfg.Flap/4, func() { p.see(e) })
-			p.agenda.add(p.now+p.cfg.Flap, flap)
+			p.announceUnlisted(e)
+			p.events.schedule(p.now+p.cfg.FlapPeriod/4, func() { p.announceListed(e) })
+			p.events.schedule(p.now+p.cfg.FlapPeriod, flap)
 		}
-		p.agenda.add(p.cfg.Flap, flap)
+		p.events.schedule(p.cfg.FlapPeriod, flap)
 	}
 }
 
 // Run replays the turns under a policy.
 func Run(cfg Config, policy Policy, turns []trace.Turn) Outcome {
-	p := &pool{cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), policy: policy, seen: make([][]*eng, cfg.Entries)}
-	for i := range p.seen {
+	p := &pool{cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), policy: policy, listed: make([][]*engine, cfg.Entries)}
+	for i := range p.listed {
 		p.views = append(p.views, member.NewView(fmt.Sprint("entry-", i), 0))
 	}
 	for range cfg.Engines {
 		e := p.join()
-		for i := range p.seen {
+		for i := range p.listed {
 			p.list(i, e)
 		}
 	}
-	p.troubles()
+	p.scheduleDisturbances()
 	m := meter{cfg: cfg}
 	for _, t := range turns {
-		p.advance(t.At)
+		p.advance(t.Arrival)
 		p.turn(t, &m)
 	}
 	return m.outcome(policy.Name())
 }
 
 func (p *pool) advance(to clock.Millis) {
-	for len(p.agenda.list) > 0 && p.agenda.list[0].at <= to {
-		h := heap.Pop(&p.agenda).(happening)
+	for len(p.events.list) > 0 && p.events.list[0].at <= to {
+		h := heap.Pop(&p.events).(event)
 		p.now = h.at
 		h.do()
 	}
@@ -348,36 +348,36 @@
 		m.shed++
 		return
 	}
-	cached := min(e.cache.size[t.Chat], t.Shared)
+	cached := min(e.cache.size[t.Chat], t.SharedTokens)
 	if t.Number > 0 {
-		m.shared += t.Shared
+		m.shared += t.SharedTokens
 		m.cached += cached
 	}
 	e.running++
-	e.note(p.now)
+	e.recordLoad(p.now)
 	m.sample(p)
-	took := clock.Millis((t.Prompt-cached)/p.cfg.PrefillPerMS) + clock.Millis(t.Output)*p.cfg.TokenGap
-	p.agenda.add(p.now+took, func() {
+	took := clock.Millis((t.PromptTokens-cached)/p.cfg.PrefillTokensPerMS) + clock.Millis(t.OutputTokens)*p.cfg.TokenGap
+	p.events.schedule(p.now+took, func() {
 		e.running--
-		e.note(p.now)
-		e.cache.put(t.Chat, t.Prompt+t.Output)
-		p.policy.ran(p, entry, t, e)
+		e.recordLoad(p.now)
+		e.cache.put(t.Chat, t.PromptTokens+t.OutputTokens)
+		p.policy.turnFinished(p, entry, t, e)
 	})
 }
 
 // meter adds up the measures of a run.
 type meter struct {
-	cfg                        Config
-	turns, tries, shed         int
-	cached, shared, over, seen int
-	ratios                     []float64
+	cfg                           Config
+	turns, tries, shed            int
+	cached, shared, over, samples int
+	ratios                        []float64
 }
 
 // sample looks at the true loads of the pool.
 func (m *meter) sample(p *pool) {
 	total, slots, n := 0, 0, 0
 	for _, e := range p.engines {
-		if !e.gone && !e.leaving {
+		if !e.stopped && !e.draining {
 			total += e.running
 			slots += e.slots
 			n++
@@ -389,13 +389,13 @@
 	mean := float64(total) / float64(slots)
 	worst, over := 0.0, false
 	for _, e := range p.engines {
-		if e.gone || e.leaving {
+		if e.stopped || e.draining {
 			continue
 		}
 		worst = max(worst, float64(e.running)/float64(e.slots)/mean)
 		over = over || e.running > route.Limit(m.cfg.Bound, mean, m.cfg.Floor, e.slots, n)
 	}
-	m.seen++
+	m.samples++
 	if over {
 		m.over++
 	}
@@ -410,10 +410,10 @@
 	if m.shared > 0 {
 		o.Reuse = float64(m.cached) / float64(m.shared)
 	}
-	if m.seen > 0 {
+	if m.samples > 0 {
 		slices.Sort(m.ratios)
 		o.SkewWorst, o.SkewP99 = m.ratios[len(m.ratios)-1], m.ratios[len(m.ratios)*99/100]
-		o.OverBound = float64(m.over) / float64(m.seen)
+		o.OverBound = float64(m.over) / float64(m.samples)
 	}
 	return o
 }
--- a/measure/replay/replay_test.go
+++ b/measure/replay/replay_test.go
@@ -35,8 +35,8 @@
 // up to 3 s and load reports that lag by 2 s.
 func base() replay.Config {
 	return replay.Config{
-		Engines: 12, Entries: 3, Slots: 32, CacheTokens: 400_000, PrefillPerMS: 20, TokenGap: 20,
-		Replace: 60_000, Notice: 5000, ListLag: 3000, ReportLag: 2000, Bound: 1.25, Floor: 2, Seed: 1,
+		Engines: 12, Entries: 3, Slots: 32, CacheTokens: 400_000, PrefillTokensPerMS: 20, TokenGap: 20,
+		ReplacePeriod: 60_000, DrainNotice: 5000, ListLag: 3000, ReportLag: 2000, Bound: 1.25, Floor: 2, Seed: 1,
 	}
 }
 
@@ -48,19 +48,19 @@
 
 var conditions = []condition{
 	{"replaced each minute", func(*replay.Config) {}},
-	{"steady", func(c *replay.Config) { c.Replace = 0 }},
-	{"replaced without notice", func(c *replay.Config) { c.Notice = 0 }},
+	{"steady", func(c *replay.Config) { c.ReplacePeriod = 0 }},
+	{"replaced without notice", func(c *replay.Config) { c.DrainNotice = 0 }},
 	{"reports lag 5 s", func(c *replay.Config) { c.ReportLag = 5000 }},
-	{"unequal engines", func(c *replay.Config) { c.Unequal = true }},
-	{"half gone", func(c *replay.Config) { c.HalfGone, c.Replace = 120_000, 0 }},
-	{"flapping", func(c *replay.Config) { c.Flap = 10_000 }},
-	{"split in two", func(c *replay.Config) { c.Split, c.Replace = 120_000, 0 }},
+	{"unequal engines", func(c *replay.Config) { c.UnequalSlots = true }},
+	{"half gone", func(c *replay.Config) { c.HalfLostAt, c.ReplacePeriod = 120_000, 0 }},
+	{"flapping", func(c *replay.Config) { c.FlapPeriod = 10_000 }},
+	{"split in two", func(c *replay.Config) { c.SplitAt, c.ReplacePeriod = 120_000, 0 }},
 	{"light load", func(c *replay.Config) { c.TokenGap, c.Floor = 5, 4 }},
 }
 
 func policies() []replay.Policy {
 	return []replay.Policy{
-		&replay.Weldfall{}, &replay.Alone{}, &replay.Alone{Moves: true}, replay.AllKnowing{}, replay.PlainHash{}, &replay.RoundRobin{}, replay.LeastReported{}, replay.TwoChoices{},
+		&replay.Weldfall{}, &replay.EntriesOnly{}, &replay.EntriesOnly{PrefixTransfer: true}, replay.Omniscient{}, replay.PlainHash{}, &replay.RoundRobin{}, replay.LeastReported{}, replay.TwoChoices{},
 	}
 }
 
--- a/measure/trace/trace.go
+++ b/measure/trace/trace.go
@@ -16,14 +16,14 @@
 // Turn is one request of a trace.
 type Turn struct {
 	// At is the time of arrival since the start of the trace.
-	At clock.Millis
+	Arrival clock.Millis
 	// Chat numbers the chat; Number counts its turns from 0.
 	Chat, Number int
 	// Workspace numbers the workspace.
 	Workspace int
 	// Prompt is the whole prompt in tokens, Shared the part that the previous
 	// turn left behind, Output the length of the answer.
-	Prompt, Shared, Output int
+	PromptTokens, SharedTokens, OutputTokens int
 }
 
 const columns = 7
@@ -34,7 +34,7 @@
 	c := csv.NewWriter(z)
 	for _, t := range turns {
 		row := make([]string, 0, columns)
-		for _, n := range []int{int(t.At), t.Chat, t.Number, t.Workspace, t.Prompt, t.Shared, t.Output} {
+		for _, n := range []int{int(t.Arrival), t.Chat, t.Number, t.Workspace, t.PromptTokens, t.SharedTokens, t.OutputTokens} {
 			row = append(row, strconv.Itoa(n))
 		}
 		if err := c.Write(row); err != nil {
