--- a/commands/demo.go
+++ b/commands/demo.go
@@ -168,8 +168,8 @@
 	for i := range c.Engines {
 		id := fmt.Sprintf("%s-engine-%d", d.partner, i)
 		h := engine.New(engine.Config{
-			ID: id, Slots: demoSlots, CacheTokens: demoCacheTokens, PrefillTokensPerMS: demoPrefillTokensPerMS, TokenGap: demoTokenGap,
-			Tokens: demoResponseTokens, ReportLag: demoReportLag, EventGap: 17, Clock: f.clk,
+			ID: id, Slots: demoSlots, CacheTokens: demoCacheTokens, PrefillTokensPerMS: demoPrefillTokensPerMS, TokenInterval: demoTokenGap,
+			Tokens: demoResponseTokens, ReportLag: demoReportLag, DropEveryNthEvent: 17, Clock: f.clk,
 		})
 		if err := f.startTarget(d, id, d.pool, d.halls[i%len(d.halls)], h); err != nil {
 			return err
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -54,7 +54,7 @@
 func (c *standinEngineCmd) run(out, _ io.Writer) error {
 	return serveStandin(out, c.Listen, exitOnText(c.EndsOn, engine.New(engine.Config{
 		ID: c.ID, Slots: c.Slots, CacheTokens: c.CacheTokens, PrefillTokensPerMS: c.Prefill,
-		TokenGap: clock.Millis(c.GapMS), Tokens: c.Tokens, ReportLag: clock.Millis(c.LagMS), EventGap: c.EventGap, Started: printRuns(out), Clock: clock.System(),
+		TokenInterval: clock.Millis(c.GapMS), Tokens: c.Tokens, ReportLag: clock.Millis(c.LagMS), DropEveryNthEvent: c.EventGap, Started: printRuns(out), Clock: clock.System(),
 	})))
 }
 
@@ -67,7 +67,7 @@
 }
 
 func (c *standinServiceCmd) run(out, _ io.Writer) error {
-	return serveStandin(out, c.Listen, exitOnText(c.EndsOn, service.New(service.Config{ID: c.ID, Delay: clock.Millis(c.DelayMS), AnswerBytes: c.AnswerBytes, Started: printRuns(out)})))
+	return serveStandin(out, c.Listen, exitOnText(c.EndsOn, service.New(service.Config{ID: c.ID, Delay: clock.Millis(c.DelayMS), PaddingBytes: c.AnswerBytes, Started: printRuns(out)})))
 }
 
 // exitOnText returns a handler that exits the process if the body of a request
--- a/daemon/relay_test.go
+++ b/daemon/relay_test.go
@@ -48,7 +48,7 @@
 
 // startSlow has an engine with one slot and 10 ms between tokens.
 func startSlow(tb testing.TB, h link.Handler) *link.Conn {
-	return startEngine(tb, h, engine.Config{ID: "e", Slots: 1, CacheTokens: 1 << 20, Tokens: 10, TokenGap: 10})
+	return startEngine(tb, h, engine.Config{ID: "e", Slots: 1, CacheTokens: 1 << 20, Tokens: 10, TokenInterval: 10})
 }
 
 func startEngine(tb testing.TB, h link.Handler, cfg engine.Config) *link.Conn {
--- a/daemon/verdict_test.go
+++ b/daemon/verdict_test.go
@@ -125,7 +125,7 @@
 }
 
 func TestALeavingDaemonFinishesWhatItHasAndRefusesTheRest(t *testing.T) {
-	addr := serveEngine(t, engine.Config{ID: "e", Slots: 4, CacheTokens: 1 << 20, TokenGap: 5})
+	addr := serveEngine(t, engine.Config{ID: "e", Slots: 4, CacheTokens: 1 << 20, TokenInterval: 5})
 	c, d := startDaemon(t, &sink{}, addr, 4)
 	done := make(chan wire.Result)
 	go func() { done <- call[wire.Result](t, c, wire.MethodRun, run(1, 60)) }()
--- a/integration/callers_test.go
+++ b/integration/callers_test.go
@@ -22,7 +22,7 @@
 )
 
 func client(e *fleettest.Process, key string) openai.Client {
-	return openai.NewClient(option.WithBaseURL("http://"+e.Callers+"/v1"), option.WithAPIKey(key), option.WithMaxRetries(0))
+	return openai.NewClient(option.WithBaseURL("http://"+e.CallerAddr+"/v1"), option.WithAPIKey(key), option.WithMaxRetries(0))
 }
 
 func params(model string, tokens int64) openai.ChatCompletionNewParams {
@@ -121,7 +121,7 @@
 			t.Errorf("%s: got verdict %q id %q, want not_run and an id", name, a.verdict, a.header.Get("X-Request-Id"))
 		}
 	}
-	if got := len(f.RunsOf(f.Engines[0])); got != 0 {
+	if got := len(f.StartedRuns(f.Engines[0])); got != 0 {
 		t.Errorf("got %d runs, want none", got)
 	}
 }
@@ -129,7 +129,7 @@
 func TestASlowCallerDoesNotHoldUpOthers(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1, EngineArgs: []string{"--gap-ms", "0"}})
 	body := chatBody(true, 60_000, "much")
-	conn, err := net.Dial("tcp", f.Entries[0].Callers)
+	conn, err := net.Dial("tcp", f.Entries[0].CallerAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 
 func TestAHalfSentRequestAndAHalfSentHeaderAreLetGo(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1})
-	conn, err := net.Dial("tcp", f.Entries[0].Callers)
+	conn, err := net.Dial("tcp", f.Entries[0].CallerAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,15 +156,15 @@
 	if _, err := io.ReadAll(conn); err != nil {
 		t.Errorf("half a header: got %v, want the connection closed", err)
 	}
-	if got := len(f.RunsOf(f.Engines[0])); got != 0 {
+	if got := len(f.StartedRuns(f.Engines[0])); got != 0 {
 		t.Errorf("got %d runs, want none", got)
 	}
 }
 
 func TestAnEntryStartsWithoutThePlatformAndSaysSo(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1})
-	f.Mode("down")
-	e := f.StartEntryAlone(0)
+	f.SetPlatformMode("down")
+	e := f.StartEntryWithoutPeers(0)
 	f.Eventually("log line", func() bool { return strings.Contains(e.Log(), "msg=platform_unreachable") })
 	if e.Ready() {
 		t.Error("got ready, want not ready")
@@ -172,7 +172,7 @@
 	if a := chat(e, chatBody(false, 1, "x")).send(); a.status != http.StatusServiceUnavailable || a.verdict != "not_run" || a.header.Get("Retry-After") == "" {
 		t.Errorf("got %d %q, want 503 not_run and when to come back", a.status, a.verdict)
 	}
-	f.Mode("ok")
+	f.SetPlatformMode("ok")
 	f.Eventually("ready when the platform is back", e.Ready)
 }
 
@@ -256,11 +256,11 @@
 
 func TestAWorkspaceOverItsRateIsToldWhenToComeBack(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1, EngineArgs: []string{"--gap-ms", "0"}})
-	f.Put("planning/ws1/chat", "[limits]\ntokens_per_second = 100.0\nburst_tokens = 400\n")
+	f.PutConfig("planning/ws1/chat", "[limits]\ntokens_per_second = 100.0\nburst_tokens = 400\n")
 	q := chat(f.Entries[0], chatBody(false, 100, "x"))
 	q.key = fleettest.Key("planning", "ws1")
 	f.Eventually("limit in force", func() bool {
-		return f.Entries[0].Setting("planning/ws1/chat", "limits.burst_tokens") == 400.0
+		return f.Entries[0].EffectiveSetting("planning/ws1/chat", "limits.burst_tokens") == 400.0
 	})
 	limited := 0
 	for range 10 {
@@ -274,7 +274,7 @@
 	if limited < 5 {
 		t.Errorf("got %d limited of 10, want most", limited)
 	}
-	if got, want := len(f.RunsOf(f.Engines[0])), 10-limited; got != want {
+	if got, want := len(f.StartedRuns(f.Engines[0])), 10-limited; got != want {
 		t.Errorf("got %d runs, want %d", got, want)
 	}
 }
@@ -286,7 +286,7 @@
 		if a := chat(f.Entries[0], chatBody(false, 1, "x")).send(); !a.whole {
 			t.Fatalf("answer %d: got %d %s, want it whole", i, a.status, a.reason)
 		}
-		if got, want := len(f.RunsOf(f.Engines[0])), i; got != want {
+		if got, want := len(f.StartedRuns(f.Engines[0])), i; got != want {
 			t.Fatalf("after answer %d: got %d runs, want %d", i, got, want)
 		}
 	}
--- a/integration/cost_test.go
+++ b/integration/cost_test.go
@@ -86,7 +86,7 @@
 		Engines: 1, Entries: 1, Direct: true, Fleet: "[limits]\nqueue_per_engine = 1000\n",
 		EngineArgs: []string{"--gap-ms", "0", "--prefill", "0", "--slots", "1000"},
 	})
-	url, key := "http://"+f.Entries[0].Callers, fleettest.Key("planning", "ws0")
+	url, key := "http://"+f.Entries[0].CallerAddr, fleettest.Key("planning", "ws0")
 	stream(b, url, key, 64, 2, 1)
 	const rounds = 50
 	for b.Loop() {
@@ -104,7 +104,7 @@
 	})
 	rounds := max(2, 32/n)
 	const tokens = 100
-	engineURL, entryURL := "http://"+f.Engines[0].Addr, "http://"+f.Entries[0].Callers
+	engineURL, entryURL := "http://"+f.Engines[0].Addr, "http://"+f.Entries[0].CallerAddr
 	key := fleettest.Key("planning", "ws0")
 	stream(b, entryURL, key, n, 1, tokens)
 	stream(b, engineURL, key, n, 1, tokens)
@@ -130,17 +130,17 @@
 			d, e := f.EngineDaemons[0], f.Entries[0]
 			const seconds = 10
 			for b.Loop() {
-				cpu, bytes := d.CPUMicros(), d.Metric("weldfall_control_bytes_total")
-				entryCPU, entryBytes := e.CPUMicros(), e.Metric("weldfall_control_bytes_total")
+				cpu, bytes := d.CPUMicros(), d.MetricSum("weldfall_control_bytes_total")
+				entryCPU, entryBytes := e.CPUMicros(), e.MetricSum("weldfall_control_bytes_total")
 				calls := f.PlatformCalls()
 				for i := range seconds {
-					f.Put("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 10_000+i))
+					f.PutConfig("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 10_000+i))
 					wait(1000)
 				}
 				b.ReportMetric((d.CPUMicros()-cpu)/1e4/seconds, "daemon_core_%")
 				b.ReportMetric((e.CPUMicros()-entryCPU)/1e4/seconds, "entry_core_%")
-				b.ReportMetric((d.Metric("weldfall_control_bytes_total")-bytes)/seconds, "daemon_B/s")
-				b.ReportMetric((e.Metric("weldfall_control_bytes_total")-entryBytes)/seconds, "entry_B/s")
+				b.ReportMetric((d.MetricSum("weldfall_control_bytes_total")-bytes)/seconds, "daemon_B/s")
+				b.ReportMetric((e.MetricSum("weldfall_control_bytes_total")-entryBytes)/seconds, "entry_B/s")
 				b.ReportMetric(d.MemoryBytes()/(1<<20), "daemon_MiB")
 				b.ReportMetric(e.MemoryBytes()/(1<<20), "entry_MiB")
 				b.ReportMetric(float64(f.PlatformCalls()-calls)/seconds, "platform_calls/s")
--- a/integration/drain_ends_test.go
+++ b/integration/drain_ends_test.go
@@ -52,9 +52,9 @@
 		}
 	}()
 	f.ServiceDaemons = append(f.ServiceDaemons, f.StartDaemon(&fleettest.Process{Name: "raw-desk", Addr: ln.Addr().String()}, "desk", 0))
-	f.Put("fleet", "[leave]\ndrain_ms = 1000\n")
+	f.PutConfig("fleet", "[leave]\ndrain_ms = 1000\n")
 	f.WaitReady()
-	f.Eventually("drain", func() bool { return fmt.Sprint(f.Entries[0].Setting("fleet", "leave.drain_ms")) == "1000" })
+	f.Eventually("drain", func() bool { return fmt.Sprint(f.Entries[0].EffectiveSetting("fleet", "leave.drain_ms")) == "1000" })
 	got := make(chan seen, 1)
 	go func() { got <- service(f, "/slow").sendRaw(t, "HTTP/1.0") }()
 	time.Sleep(500 * time.Millisecond)
--- a/integration/ending_test.go
+++ b/integration/ending_test.go
@@ -30,7 +30,7 @@
 // revive starts the targets again that have ended.
 func (e *endings) revive() {
 	for i, p := range e.targets {
-		if p.Ended() {
+		if p.Exited() {
 			e.ends = append(e.ends, time.Now())
 			e.targets[i] = e.start(i, p.Addr)
 		}
--- a/integration/endings_test.go
+++ b/integration/endings_test.go
@@ -112,7 +112,7 @@
 // sendRaw sends a request over a connection of its own.
 func (q request) sendRaw(t *testing.T, proto string) seen {
 	t.Helper()
-	nc, err := net.Dial("tcp", q.entry.Callers)
+	nc, err := net.Dial("tcp", q.entry.CallerAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,8 +299,8 @@
 			{"chunks in HTTP/1.0", "HTTP/1.0", chunked, chunk},
 		} {
 			t.Run(path[1:]+", "+tc.proto+", "+tc.name, func(t *testing.T) {
-				before := len(f.RunsOf(f.Engines[0])) + len(f.RunsOf(f.Services[0]))
-				nc, err := net.Dial("tcp", f.Entries[0].Callers)
+				before := len(f.StartedRuns(f.Engines[0])) + len(f.StartedRuns(f.Services[0]))
+				nc, err := net.Dial("tcp", f.Entries[0].CallerAddr)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -317,7 +317,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if got := len(f.RunsOf(f.Engines[0])) + len(f.RunsOf(f.Services[0])) - before; got != 0 {
+				if got := len(f.StartedRuns(f.Engines[0])) + len(f.StartedRuns(f.Services[0])) - before; got != 0 {
 					t.Errorf("got %d runs and the answer %q, want none", got, answer)
 				}
 			})
--- a/integration/faults_test.go
+++ b/integration/faults_test.go
@@ -27,7 +27,7 @@
 
 func heal(f *fleettest.Fleet)   { f.Net.Heal() }
 func nothing(*fleettest.Fleet)  {}
-func mode(m string) fault       { return func(f *fleettest.Fleet) { f.Mode(m) } }
+func mode(m string) fault       { return func(f *fleettest.Fleet) { f.SetPlatformMode(m) } }
 func all(faults ...fault) fault { return func(f *fleettest.Fleet) { run(f, faults) } }
 
 type fault func(f *fleettest.Fleet)
@@ -64,22 +64,22 @@
 }
 func flapList(f *fleettest.Fleet) {
 	for range 3 {
-		f.Unlist(f.EngineDaemons[0])
-		f.Unlist(f.ServiceDaemons[0])
+		f.UnlistInstance(f.EngineDaemons[0])
+		f.UnlistInstance(f.ServiceDaemons[0])
 		wait(100)
-		f.List(f.EngineDaemons[0], member.Live)
-		f.List(f.ServiceDaemons[0], member.Live)
+		f.ListInstance(f.EngineDaemons[0], member.Live)
+		f.ListInstance(f.ServiceDaemons[0], member.Live)
 		wait(100)
 	}
 }
 func operators(f *fleettest.Fleet) {
 	for i := range 10 {
-		f.Put("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 100_000+i))
-		f.Put("planning", "[limits]\ndeadline_ms = \"broken\"\n")
+		f.PutConfig("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 100_000+i))
+		f.PutConfig("planning", "[limits]\ndeadline_ms = \"broken\"\n")
 	}
 }
 func splitFleet(f *fleettest.Fleet) {
-	f.Net.Split(
+	f.Net.Partition(
 		[]string{"entry-1", "engine-0-daemon", "desk-0-daemon"},
 		[]string{"entry-0", "engine-1-daemon", "engine-2-daemon", "engine-3-daemon", "desk-1-daemon", "desk-2-daemon"},
 	)
@@ -224,7 +224,7 @@
 	w.t.Helper()
 	byCaller, byRequest := map[string]int{}, map[string]int{}
 	for _, p := range append(append([]*fleettest.Process(nil), w.f.Services...), w.f.Engines...) {
-		for _, r := range w.f.RunsOf(p) {
+		for _, r := range w.f.StartedRuns(p) {
 			byCaller[r.CallerKey]++
 			byRequest[r.Key]++
 		}
@@ -269,7 +269,7 @@
 	w.t.Helper()
 	whole, failed := 0, map[string]int{}
 	for _, c := range w.chats {
-		want := engine.Answer([]byte(c.body), c.tokens)
+		want := engine.Content([]byte(c.body), c.tokens)
 		a := c.answer
 		switch {
 		case a.whole && a.content != want:
@@ -300,7 +300,7 @@
 func (w *workload) recovered() {
 	w.t.Helper()
 	for _, e := range w.f.Entries {
-		if e.Ended() {
+		if e.Exited() {
 			continue
 		}
 		w.f.Eventually("answer through "+e.Name, func() bool {
--- a/integration/leave_test.go
+++ b/integration/leave_test.go
@@ -81,7 +81,7 @@
 	}
 	wait(400)
 	e.Terminate()
-	f.Eventually("not ready first", func() bool { return e.Ended() || !e.Ready() })
+	f.Eventually("not ready first", func() bool { return e.Exited() || !e.Ready() })
 	wg.Wait()
 	for i, a := range answers {
 		if !a.whole {
@@ -95,29 +95,29 @@
 	f := fleettest.Start(t, leaveSpec)
 	// The list says live all the time, and the entries cannot hear the
 	// daemon's own word.
-	f.Mode("down")
+	f.SetPlatformMode("down")
 	leaving := f.EngineDaemons[0]
 	f.Net.Cut(leaving.Name, "entry-0")
 	f.Net.Cut(leaving.Name, "entry-1")
 	leaving.Terminate()
 	f.Eventually("leaving", func() bool { return strings.Contains(leaving.Log(), "msg=leaving") })
-	before := len(f.RunsOf(f.Engines[0]))
+	before := len(f.StartedRuns(f.Engines[0]))
 	f.Net.Heal()
 	w := underLoad(t, f, f.Entries, func() { wait(500) })
 	wantAllWhole(t, w)
-	if got := len(f.RunsOf(f.Engines[0])); got != before {
+	if got := len(f.StartedRuns(f.Engines[0])); got != before {
 		t.Errorf("got %d new runs on the leaving engine, want none", got-before)
 	}
 }
 
 func TestAnEngineThatTheListCallsLeavingGetsNoNewWork(t *testing.T) {
 	f := fleettest.Start(t, leaveSpec)
-	f.List(f.EngineDaemons[0], member.Leaving)
+	f.ListInstance(f.EngineDaemons[0], member.Leaving)
 	f.Eventually("leaving", func() bool { return strings.Contains(f.EngineDaemons[0].Log(), "msg=leaving") })
-	before := len(f.RunsOf(f.Engines[0]))
+	before := len(f.StartedRuns(f.Engines[0]))
 	w := underLoad(t, f, f.Entries, func() { wait(300) })
 	wantAllWhole(t, w)
-	if got := len(f.RunsOf(f.Engines[0])); got != before {
+	if got := len(f.StartedRuns(f.Engines[0])); got != before {
 		t.Errorf("got %d new runs on the leaving engine, want none", got-before)
 	}
 }
@@ -130,13 +130,13 @@
 		a := chat(f.Entries[0], chatBody(false, 5, opening)).send()
 		turns[opening] = []string{opening, a.content, "and now?"}
 	}
-	had := len(f.RunsOf(f.Engines[0]))
+	had := len(f.StartedRuns(f.Engines[0]))
 	if had == 0 {
 		t.Fatal("got no chat on engine 0, want some of thirty")
 	}
 	f.EngineDaemons[0].Terminate()
 	<-f.EngineDaemons[0].Done()
-	f.Unlist(f.EngineDaemons[0])
+	f.UnlistInstance(f.EngineDaemons[0])
 	cold := 0
 	for _, ts := range turns {
 		a := chat(f.Entries[0], chatBody(false, 5, ts...)).send()
@@ -162,7 +162,7 @@
 			t.Errorf("got status %d %s, want the stream whole", a.status, a.reason)
 		}
 	})
-	nc, err := net.Dial("tcp", e.Callers)
+	nc, err := net.Dial("tcp", e.CallerAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 	ask(request[:20])
 	wait(100)
 	e.Terminate()
-	f.Eventually("not ready first", func() bool { return e.Ended() || !e.Ready() })
+	f.Eventually("not ready first", func() bool { return e.Exited() || !e.Ready() })
 	wait(100)
 	ask(request[20:])
 	answer("a request that was arriving at the stop")
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -54,7 +54,7 @@
 }
 
 func (q request) send() answer {
-	req, err := http.NewRequest(http.MethodPost, "http://"+q.entry.Callers+q.path, strings.NewReader(q.body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+q.entry.CallerAddr+q.path, strings.NewReader(q.body))
 	if err != nil {
 		return answer{err: err}
 	}
@@ -119,7 +119,7 @@
 	for _, stream := range []bool{false, true} {
 		body := chatBody(stream, 20, "hello")
 		a := chat(f.Entries[0], body).send()
-		if got, want := a.content, engine.Answer([]byte(body), 20); got != want || !a.whole {
+		if got, want := a.content, engine.Content([]byte(body), 20); got != want || !a.whole {
 			t.Errorf("stream %t: got %q whole %t, want %q whole", stream, got, a.whole, want)
 		}
 		if a.header.Get("X-Request-Id") == "" {
@@ -131,16 +131,16 @@
 	if a.status != http.StatusOK || !strings.Contains(a.body, `"path":"/fees?ref=7"`) {
 		t.Errorf("service: got %d %s, want 200 with the path", a.status, a.body)
 	}
-	if runs := f.RunsOf(f.Services[0]); len(runs) != 1 {
+	if runs := f.StartedRuns(f.Services[0]); len(runs) != 1 {
 		t.Errorf("service runs: got %d, want 1: %+v", len(runs), runs)
 	}
 	wrong := chat(f.Entries[0], chatBody(false, 1, "x"))
 	wrong.key = "planning.ws0.wrong"
-	before := len(f.RunsOf(f.Engines[0])) + len(f.RunsOf(f.Engines[1]))
+	before := len(f.StartedRuns(f.Engines[0])) + len(f.StartedRuns(f.Engines[1]))
 	if a := wrong.send(); a.status != http.StatusUnauthorized || a.verdict != "not_run" {
 		t.Errorf("wrong key: got %d %q, want 401 not_run", a.status, a.verdict)
 	}
-	if after := len(f.RunsOf(f.Engines[0])) + len(f.RunsOf(f.Engines[1])); after != before {
+	if after := len(f.StartedRuns(f.Engines[0])) + len(f.StartedRuns(f.Engines[1])); after != before {
 		t.Errorf("wrong key: got %d runs, want %d", after, before)
 	}
 }
@@ -160,7 +160,7 @@
 	// Longer than a daemon waits between two questions.
 	wait(2500)
 	ask()
-	if runs := f.RunsOf(f.Services[0]); len(runs) != 2 {
+	if runs := f.StartedRuns(f.Services[0]); len(runs) != 2 {
 		t.Errorf("got %d requests at the service, want the 2 of callers: %+v", len(runs), runs)
 	}
 }
--- a/integration/settings_test.go
+++ b/integration/settings_test.go
@@ -14,7 +14,7 @@
 const deadlineKey = "limits.deadline_ms"
 
 func putDeadline(f *fleettest.Fleet, path string, ms int) {
-	f.Put(path, fmt.Sprintf("[limits]\ndeadline_ms = %d\n", ms))
+	f.PutConfig(path, fmt.Sprintf("[limits]\ndeadline_ms = %d\n", ms))
 }
 
 // wantEverywhere waits until every process has the deadline at path, and
@@ -23,10 +23,10 @@
 	t.Helper()
 	clk := clock.System()
 	for _, p := range f.Processes() {
-		if p.Ended() {
+		if p.Exited() {
 			continue
 		}
-		f.Eventually(fmt.Sprintf("%s has %d", p.Name, ms), func() bool { return p.Setting(path, deadlineKey) == float64(ms) })
+		f.Eventually(fmt.Sprintf("%s has %d", p.Name, ms), func() bool { return p.EffectiveSetting(path, deadlineKey) == float64(ms) })
 	}
 	return clk.Now()
 }
@@ -51,7 +51,7 @@
 
 func TestASlowPlatformStillSpreadsChanges(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 3, Entries: 2})
-	f.Mode("slow")
+	f.SetPlatformMode("slow")
 	putDeadline(f, "planning", 41_000)
 	wantEverywhere(t, f, "planning", 41_000)
 }
@@ -60,27 +60,27 @@
 	f := fleettest.Start(t, fleettest.Spec{Engines: 3, Entries: 2})
 	putDeadline(f, "planning", 41_000)
 	wantEverywhere(t, f, "planning", 41_000)
-	f.Mode("stale")
+	f.SetPlatformMode("stale")
 	// Stale answers begin now; the newer value came before.
 	restarted := f.StartEntry(2)
 	f.Entries = append(f.Entries, restarted)
 	f.Eventually("a new entry is ready beside a stale platform", restarted.Ready)
-	if got := restarted.Setting("planning", deadlineKey); got != 41_000.0 {
+	if got := restarted.EffectiveSetting("planning", deadlineKey); got != 41_000.0 {
 		t.Errorf("new entry: got %v, want 41000", got)
 	}
-	f.Mode("ok")
+	f.SetPlatformMode("ok")
 	putDeadline(f, "planning", 42_000)
 	wantEverywhere(t, f, "planning", 42_000)
-	f.Mode("stale")
+	f.SetPlatformMode("stale")
 	putDeadline(f, "planning", 43_000)
-	f.Mode("down")
+	f.SetPlatformMode("down")
 	last := f.StartEntry(3)
 	f.Entries = append(f.Entries, last)
 	f.Eventually("a new entry is ready while the platform is down", last.Ready)
-	if got := last.Setting("planning", deadlineKey); got != 42_000.0 {
+	if got := last.EffectiveSetting("planning", deadlineKey); got != 42_000.0 {
 		t.Errorf("entry started in the outage: got %v, want 42000 from its peers", got)
 	}
-	f.Mode("ok")
+	f.SetPlatformMode("ok")
 	wantEverywhere(t, f, "planning", 43_000)
 }
 
@@ -88,15 +88,15 @@
 	f := fleettest.Start(t, fleettest.Spec{Engines: 2, Entries: 1})
 	putDeadline(f, "planning", 41_000)
 	wantEverywhere(t, f, "planning", 41_000)
-	f.Mode("stale")
+	f.SetPlatformMode("stale")
 	putDeadline(f, "planning", 44_000)
 	wait(1500)
 	for _, p := range f.Processes() {
-		if got := p.Setting("planning", deadlineKey); got != 41_000.0 {
+		if got := p.EffectiveSetting("planning", deadlineKey); got != 41_000.0 {
 			t.Errorf("%s: got %v, want 41000 while the platform is stale", p.Name, got)
 		}
 	}
-	f.Mode("ok")
+	f.SetPlatformMode("ok")
 	wantEverywhere(t, f, "planning", 44_000)
 }
 
@@ -107,18 +107,18 @@
 		go func() {
 			var rev int64
 			for i := range 20 {
-				rev = f.Put("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 10_000*(op+1)+i))
+				rev = f.PutConfig("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 10_000*(op+1)+i))
 			}
 			done <- rev
 		}()
 	}
 	a, b := <-done, <-done
 	want := 10_019
-	if f.Put("vigia", "") < max(a, b) {
+	if f.PutConfig("vigia", "") < max(a, b) {
 		t.Fatal("got revisions that go back")
 	}
 	// The platform's last revision decides; ask it.
-	if strings.Contains(f.Get("config", "planning"), "20019") {
+	if strings.Contains(f.PlatformValue("config", "planning"), "20019") {
 		want = 20_019
 	}
 	wantEverywhere(t, f, "planning", want)
@@ -126,7 +126,7 @@
 
 func TestACutPartCatchesUpWhenTheCutHeals(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 4, Entries: 2})
-	f.Net.Split([]string{"entry-1", "engine-1-daemon"}, []string{"entry-0", "engine-0-daemon", "engine-2-daemon", "engine-3-daemon"})
+	f.Net.Partition([]string{"entry-1", "engine-1-daemon"}, []string{"entry-0", "engine-0-daemon", "engine-2-daemon", "engine-3-daemon"})
 	putDeadline(f, "planning", 45_000)
 	f.Net.Heal()
 	wantEverywhere(t, f, "planning", 45_000)
@@ -136,16 +136,16 @@
 	f := fleettest.Start(t, fleettest.Spec{Engines: 2, Entries: 1})
 	putDeadline(f, "planning", 41_000)
 	wantEverywhere(t, f, "planning", 41_000)
-	f.Put("planning", "[limits]\ndeadline_ms = \"soon\"\n")
+	f.PutConfig("planning", "[limits]\ndeadline_ms = \"soon\"\n")
 	e := f.Entries[0]
 	f.Eventually("problem on the page", func() bool { return strings.Contains(e.Page("/settings"), "planning:2") })
-	if !strings.Contains(e.Log(), "msg=settings_invalid") || e.Metric("weldfall_settings_invalid_total") == 0 {
+	if !strings.Contains(e.Log(), "msg=settings_invalid") || e.MetricSum("weldfall_settings_invalid_total") == 0 {
 		t.Error("got no log line or metric for the bad branch")
 	}
 	fresh := f.StartEntry(1)
 	f.Entries = append(f.Entries, fresh)
 	f.Eventually("new entry", fresh.Ready)
-	f.Eventually("last good value", func() bool { return fresh.Setting("planning", deadlineKey) == 41_000.0 })
+	f.Eventually("last good value", func() bool { return fresh.EffectiveSetting("planning", deadlineKey) == 41_000.0 })
 	putDeadline(f, "vigia", 46_000)
 	wantEverywhere(t, f, "vigia", 46_000)
 }
@@ -153,31 +153,31 @@
 func TestALargeTreeKeepsTheControlBudgetAtAStart(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 2, Entries: 1})
 	for i := range 3000 {
-		f.Put(fmt.Sprintf("vigia/many%d", i), "[limits]\ndeadline_ms = 5000\n# "+strings.Repeat("x", 200)+"\n")
+		f.PutConfig(fmt.Sprintf("vigia/many%d", i), "[limits]\ndeadline_ms = 5000\n# "+strings.Repeat("x", 200)+"\n")
 	}
-	f.Put("vigia/many7", "[access]\nkey_sha256 = [\""+settings.HashKey("vigia.many7.secret")+"\"]\n")
+	f.PutConfig("vigia/many7", "[access]\nkey_sha256 = [\""+settings.HashKey("vigia.many7.secret")+"\"]\n")
 	// Peers alone: a start must not need the platform either.
-	f.Eventually("first entry has the tree", func() bool { return f.Entries[0].Setting("vigia/many2999", deadlineKey) == 5000.0 })
+	f.Eventually("first entry has the tree", func() bool { return f.Entries[0].EffectiveSetting("vigia/many2999", deadlineKey) == 5000.0 })
 	engine := f.StartEngine(2)
 	d := f.StartDaemon(engine, "drafting", 2)
 	f.Eventually("new daemon", d.Ready)
 	wait(4000)
-	if got, want := d.Metric("weldfall_control_bytes_total"), 25_000.0; got > want {
+	if got, want := d.MetricSum("weldfall_control_bytes_total"), 25_000.0; got > want {
 		t.Errorf("got %.0f control bytes of a daemon in its first 5 s, want at most %.0f", got, want)
 	}
-	f.Mode("down")
+	f.SetPlatformMode("down")
 	fresh := f.StartEntry(1)
 	f.Entries = append(f.Entries, fresh)
-	f.Mode("ok")
-	f.List(fresh, "live")
-	f.Mode("down")
+	f.SetPlatformMode("ok")
+	f.ListInstance(fresh, "live")
+	f.SetPlatformMode("down")
 	f.Eventually("ready", fresh.Ready)
 	q := request{entry: fresh, path: "/v1/chat/completions", key: "vigia.many7.secret", body: chatBody(false, 2, "x")}
 	f.Eventually("a workspace that has not come yet is fetched", func() bool { return q.send().status == http.StatusOK })
 	const seconds = 4
-	before := fresh.Metric("weldfall_control_bytes_total")
+	before := fresh.MetricSum("weldfall_control_bytes_total")
 	wait(seconds * 1000)
-	if got := (fresh.Metric("weldfall_control_bytes_total") - before) / seconds; got > 5000 {
+	if got := (fresh.MetricSum("weldfall_control_bytes_total") - before) / seconds; got > 5000 {
 		t.Errorf("got %.0f control bytes a second at the start, want at most 5,000", got)
 	}
 }
--- a/integration/surge_test.go
+++ b/integration/surge_test.go
@@ -60,7 +60,7 @@
 	wg.Wait()
 	ran := map[string]bool{}
 	for _, e := range f.Engines {
-		for _, r := range f.RunsOf(e) {
+		for _, r := range f.StartedRuns(e) {
 			ran[r.Key] = true
 		}
 	}
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -60,8 +60,8 @@
 	// Addr is where a stand-in listens, or where peers reach a process of the
 	// system, through the proxy.
 	Addr string
-	// Admin has the pages; Callers is where an entry's callers come in.
-	Admin, Callers string
+	// AdminAddr has the pages; CallerAddr is where an entry's callers come in.
+	AdminAddr, CallerAddr string
 
 	t    testing.TB
 	cmd  *exec.Cmd
@@ -110,12 +110,12 @@
 	f := &Fleet{t: t, Net: newNetwork(), dir: t.TempDir(), spec: spec, clk: clock.System()}
 	t.Cleanup(f.Net.close)
 	f.Platform = f.standin("platform", append([]string{"standin", "platform"}, spec.PlatformArgs...)...)
-	f.Put(settings.FleetPath, "[models]\n\"draft-1\" = \"drafting\"\n"+spec.Fleet)
+	f.PutConfig(settings.FleetPath, "[models]\n\"draft-1\" = \"drafting\"\n"+spec.Fleet)
 	for _, p := range []string{"planning", "vigia"} {
-		f.Put(p, "")
+		f.PutConfig(p, "")
 		for _, ws := range []string{"ws0", "ws1"} {
-			f.Put(p+"/"+ws, fmt.Sprintf("[access]\nkey_sha256 = [%q]\n", settings.HashKey(Key(p, ws))))
-			f.Put(p+"/"+ws+"/desk", "[routing]\npool = \"desk\"\n[once]\nrepeatable = false\n")
+			f.PutConfig(p+"/"+ws, fmt.Sprintf("[access]\nkey_sha256 = [%q]\n", settings.HashKey(Key(p, ws))))
+			f.PutConfig(p+"/"+ws+"/desk", "[routing]\npool = \"desk\"\n[once]\nrepeatable = false\n")
 		}
 	}
 	for i := range spec.Engines {
@@ -207,7 +207,7 @@
 		ID: name, Role: member.Daemon, Addr: p.Addr, Hall: Halls[i%len(Halls)], Pool: pool,
 		Engines: []member.EngineInfo{{ID: target.Name, Slots: 16}}, State: member.Live,
 	}
-	f.List(p, member.Live)
+	f.ListInstance(p, member.Live)
 	return p
 }
 
@@ -216,12 +216,12 @@
 	name := fmt.Sprintf("entry-%d", i)
 	p := f.startProcess("entry", name, Halls[i%len(Halls)], "listen = \"127.0.0.1:0\"\n")
 	p.in = member.Instance{ID: name, Role: member.Entry, Addr: p.Addr, Hall: Halls[i%len(Halls)], State: member.Live}
-	f.List(p, member.Live)
+	f.ListInstance(p, member.Live)
 	return p
 }
 
-// StartEntryAlone starts entry i without any peers to ask.
-func (f *Fleet) StartEntryAlone(i int) *Process {
+// StartEntryWithoutPeers starts entry i without any peers to ask.
+func (f *Fleet) StartEntryWithoutPeers(i int) *Process {
 	alone := *f
 	alone.EngineDaemons, alone.ServiceDaemons, alone.Entries = nil, nil, nil
 	return alone.StartEntry(i)
@@ -238,7 +238,7 @@
 	p := f.start(name, role, "--settings", file)
 	f.Eventually("start of "+name, func() bool { return startedRE.MatchString(p.log.String()) })
 	line := startedRE.FindString(p.log.String())
-	p.Admin, p.Callers = field(line, "admin"), field(line, "listen")
+	p.AdminAddr, p.CallerAddr = field(line, "admin"), field(line, "listen")
 	p.Addr = f.front(name, field(line, "peers"))
 	return p
 }
@@ -255,7 +255,7 @@
 func (f *Fleet) bootstrap() string {
 	var addrs []string
 	for _, p := range f.Processes() {
-		if !p.Ended() {
+		if !p.Exited() {
 			addrs = append(addrs, strconv.Quote(p.Addr))
 		}
 	}
@@ -271,8 +271,8 @@
 	return ""
 }
 
-// List puts a process on the platform's list with the given state.
-func (f *Fleet) List(p *Process, s member.State) {
+// ListInstance puts a process on the platform's list with the given state.
+func (f *Fleet) ListInstance(p *Process, s member.State) {
 	in := p.in
 	in.State = s
 	value, err := json.Marshal(in)
@@ -282,18 +282,20 @@
 	f.admin(http.MethodPut, "/admin/instances/"+p.Name, string(value))
 }
 
-// Unlist takes a process off the platform's list.
-func (f *Fleet) Unlist(p *Process) { f.admin(http.MethodDelete, "/admin/instances/"+p.Name, "") }
+// UnlistInstance takes a process off the platform's list.
+func (f *Fleet) UnlistInstance(p *Process) {
+	f.admin(http.MethodDelete, "/admin/instances/"+p.Name, "")
+}
 
-// Put publishes a branch of the settings and returns its revision.
-func (f *Fleet) Put(path, text string) int64 {
+// PutConfig publishes a branch of the settings and returns its revision.
+func (f *Fleet) PutConfig(path, text string) int64 {
 	var rev int64
 	_, _ = fmt.Sscan(f.admin(http.MethodPut, "/admin/config/"+path, text), &rev)
 	return rev
 }
 
-// Get returns the value that the platform has of a key.
-func (f *Fleet) Get(topic, key string) string {
+// PlatformValue returns the value that the platform has of a key.
+func (f *Fleet) PlatformValue(topic, key string) string {
 	var b struct {
 		Items []struct{ Key, Value string } `json:"items"`
 	}
@@ -308,8 +310,8 @@
 	return ""
 }
 
-// Mode switches a fault of the platform on or, with "ok", off.
-func (f *Fleet) Mode(mode string) { f.admin(http.MethodPost, "/admin/mode?mode="+mode, "") }
+// SetPlatformMode switches a fault of the platform on or, with "ok", off.
+func (f *Fleet) SetPlatformMode(mode string) { f.admin(http.MethodPost, "/admin/mode?mode="+mode, "") }
 
 // PlatformCalls returns the reads that the platform has counted.
 func (f *Fleet) PlatformCalls() int {
@@ -380,7 +382,7 @@
 
 // Ready reports whether the process says that it is ready.
 func (p *Process) Ready() bool {
-	res, err := http.Get("http://" + p.Admin + "/readyz")
+	res, err := http.Get("http://" + p.AdminAddr + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -390,7 +392,7 @@
 
 // Page returns one of the process's pages, "" if it cannot be had.
 func (p *Process) Page(path string) string {
-	res, err := http.Get("http://" + p.Admin + path)
+	res, err := http.Get("http://" + p.AdminAddr + path)
 	if err != nil {
 		return ""
 	}
@@ -399,9 +401,9 @@
 	return string(b)
 }
 
-// Metric adds up the series of the process's metrics whose name begins with
+// MetricSum adds up the series of the process's metrics whose name begins with
 // prefix.
-func (p *Process) Metric(prefix string) float64 {
+func (p *Process) MetricSum(prefix string) float64 {
 	total := 0.0
 	for line := range strings.SplitSeq(p.Page("/metrics"), "\n") {
 		name, value, ok := strings.Cut(line, " ")
@@ -414,8 +416,8 @@
 	return total
 }
 
-// Setting returns the effective value of a key as the process has it.
-func (p *Process) Setting(path, key string) any {
+// EffectiveSetting returns the effective value of a key as the process has it.
+func (p *Process) EffectiveSetting(path, key string) any {
 	var page struct {
 		Settings []settings.Source `json:"settings"`
 	}
@@ -425,9 +427,9 @@
 	return page.Settings[0].Value
 }
 
-// RunsOf returns what a stand-in has really run, also when it has been
+// StartedRuns returns what a stand-in has really run, also when it has been
 // killed: the stand-ins write their runs to the log as they start.
-func (f *Fleet) RunsOf(p *Process) []engine.Run {
+func (f *Fleet) StartedRuns(p *Process) []engine.Run {
 	f.t.Helper()
 	var runs []engine.Run
 	for line := range strings.SplitSeq(p.log.String(), "\n") {
@@ -488,8 +490,8 @@
 // Done is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Ended reports whether the process has ended.
-func (p *Process) Ended() bool {
+// Exited reports whether the process has ended.
+func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
 		return true
--- a/internal/fleettest/proxy.go
+++ b/internal/fleettest/proxy.go
@@ -53,8 +53,8 @@
 	n.Cut(b, a)
 }
 
-// Split cuts every link between two groups.
-func (n *Network) Split(left, right []string) {
+// Partition cuts every link between two groups.
+func (n *Network) Partition(left, right []string) {
 	for _, l := range left {
 		for _, r := range right {
 			n.CutBoth(l, r)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -30,14 +30,14 @@
 	// PrefillTokensPerMS is the speed at which uncached prompt is read; zero
 	// is at once.
 	PrefillTokensPerMS int
-	// TokenGap is the time between tokens; zero is none.
-	TokenGap clock.Millis
+	// TokenInterval is the time between tokens; zero is none.
+	TokenInterval clock.Millis
 	// Tokens is the length of an answer when the request does not limit it.
 	Tokens int
 	// ReportLag is how old load reports and cache events are.
 	ReportLag clock.Millis
-	// EventGap drops every n-th cache event; zero drops none.
-	EventGap int
+	// DropEveryNthEvent drops every n-th cache event; zero drops none.
+	DropEveryNthEvent int
 	// Started is called for each request that starts, may be nil.
 	Started func(Run)
 	// Ending returns how an answer to an attempt ends, may be nil for Framed.
@@ -99,7 +99,7 @@
 // New returns an idle engine.
 func New(cfg Config) *Engine {
 	e := &Engine{cfg: cfg, router: mux.NewRouter(), streams: map[string]*stream{}, model: cfg.Model}
-	e.cache = newCache(cfg.CacheTokens, cfg.EventGap)
+	e.cache = newCache(cfg.CacheTokens, cfg.DropEveryNthEvent)
 	e.router.HandleFunc("/v1/chat/completions", e.complete).Methods(http.MethodPost)
 	e.router.HandleFunc("/v1/streams/{attempt}", e.resume).Methods(http.MethodGet)
 	e.router.HandleFunc("/v1/streams/{attempt}", e.cancel).Methods(http.MethodDelete)
@@ -210,8 +210,8 @@
 	return "t" + hex.EncodeToString([]byte{byte(h), byte(h >> 8), byte(h >> 16)}) + " "
 }
 
-// Answer returns the whole content for a request body and a token count.
-func Answer(request []byte, tokens int) string {
+// Content returns the whole content for a request body and a token count.
+func Content(request []byte, tokens int) string {
 	var out []byte
 	for i := range tokens {
 		out = append(out, Token(request, i)...)
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -107,10 +107,10 @@
 	priority, _ := strconv.Atoi(r.Header.Get(HeaderPriority))
 	go e.generate(ctx, s, req, body, attempt, r.Header.Get(HeaderKey), r.Header.Get(HeaderCallerKey), priority)
 	if req.Stream {
-		e.follow(w, r, s, 0, EndingOf(e.cfg.Ending, attempt))
+		e.follow(w, r, s, 0, EndingFor(e.cfg.Ending, attempt))
 		return
 	}
-	e.followPlain(w, r, s, EndingOf(e.cfg.Ending, attempt))
+	e.followPlain(w, r, s, EndingFor(e.cfg.Ending, attempt))
 }
 
 func (e *Engine) generate(ctx context.Context, s *stream, req chatRequest, body []byte, attempt, key, callerKey string, priority int) {
@@ -176,11 +176,11 @@
 func (e *Engine) produce(ctx context.Context, s *stream, req chatRequest, body []byte, attempt string, n int) (string, int) {
 	var content []byte
 	var ticks <-chan struct{}
-	if e.cfg.TokenGap > 0 {
+	if e.cfg.TokenInterval > 0 {
 		c := make(chan struct{})
 		tickCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		go clock.Every(tickCtx, e.cfg.TokenGap, func() {
+		go clock.Every(tickCtx, e.cfg.TokenInterval, func() {
 			select {
 			case c <- struct{}{}:
 			case <-tickCtx.Done():
@@ -257,7 +257,7 @@
 // follow writes the events of a stream from a number on, as they come.
 func (e *Engine) follow(w http.ResponseWriter, r *http.Request, s *stream, from int, ending Ending) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	ending.Frame(w)
+	ending.SetFraming(w)
 	s.read(+1)
 	defer s.abandon()
 	rc := http.NewResponseController(w)
@@ -268,9 +268,9 @@
 		for ; from < len(events); from++ {
 			event := fmt.Appendf(nil, "id: %d\ndata: %s\n\n", from, events[from])
 			if from > 0 {
-				event = ending.Part(event)
+				event = ending.Truncate(event)
 			}
-			if _, err := w.Write(event); err != nil || (from > 0 && ending == CutOff) {
+			if _, err := w.Write(event); err != nil || (from > 0 && ending == Truncated) {
 				return
 			}
 		}
@@ -298,8 +298,8 @@
 		}
 		if done {
 			w.Header().Set("Content-Type", "application/json")
-			ending.Frame(w)
-			_, _ = w.Write(ending.Part(plain))
+			ending.SetFraming(w)
+			_, _ = w.Write(ending.Truncate(plain))
 			return
 		}
 		select {
@@ -347,11 +347,11 @@
 		return
 	}
 	if r.URL.Query().Get("plain") != "" {
-		e.followPlain(w, r, s, EndingOf(e.cfg.Ending, mux.Vars(r)["attempt"]))
+		e.followPlain(w, r, s, EndingFor(e.cfg.Ending, mux.Vars(r)["attempt"]))
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	e.follow(w, r, s, from, EndingOf(e.cfg.Ending, mux.Vars(r)["attempt"]))
+	e.follow(w, r, s, from, EndingFor(e.cfg.Ending, mux.Vars(r)["attempt"]))
 }
 
 // cancel ends a stream and says whether it had started.
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -43,10 +43,10 @@
 
 // Item is the latest value of a key.
 type Item struct {
-	Key   string `json:"key"`
-	Rev   int64  `json:"rev"`
-	Value string `json:"value,omitempty"`
-	Gone  bool   `json:"gone,omitempty"`
+	Key     string `json:"key"`
+	Rev     int64  `json:"rev"`
+	Value   string `json:"value,omitempty"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
 // Batch is the answer to a read: the items after a revision, ascending.
@@ -134,7 +134,7 @@
 
 // Delete removes a value and returns the revision of that.
 func (p *Platform) Delete(topicName, key string) int64 {
-	return p.change(topicName, Item{Key: key, Gone: true})
+	return p.change(topicName, Item{Key: key, Deleted: true})
 }
 
 func (p *Platform) change(topicName string, it Item) int64 {
--- a/standin/service/ending_test.go
+++ b/standin/service/ending_test.go
@@ -41,7 +41,7 @@
 		if framed != framing.UntilClose || len(got) < len(whole) {
 			t.Errorf("%s %s: got %q by %s, want all until close", tc.handler, tc.body, got, framed)
 		}
-		got, framed = post(t, srv.URL, tc.body, engine.CutOff)
+		got, framed = post(t, srv.URL, tc.body, engine.Truncated)
 		if framed != framing.UntilClose || got == "" || strings.HasSuffix(got, "\n") || len(got) >= len(whole) {
 			t.Errorf("%s %s: got %q by %s, want a part until close", tc.handler, tc.body, got, framed)
 		}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -21,8 +21,8 @@
 	ID string
 	// Delay is how long a request runs.
 	Delay clock.Millis
-	// AnswerBytes pads the answer, in bytes.
-	AnswerBytes int
+	// PaddingBytes pads the answer, in bytes.
+	PaddingBytes int
 	// Started is called for each request that starts, may be nil.
 	Started func(engine.Run)
 	// Ending returns how an answer to an attempt ends, may be nil for engine.Framed.
@@ -75,14 +75,14 @@
 	w.Header().Set("Content-Type", "application/json")
 	answer, err := json.Marshal(map[string]any{
 		"path": r.URL.RequestURI(), "method": r.Method, "bytes": len(body),
-		"echo": xxh3.Hash(body), "padding": strings.Repeat("x", s.cfg.AnswerBytes),
+		"echo": xxh3.Hash(body), "padding": strings.Repeat("x", s.cfg.PaddingBytes),
 	})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	ending := engine.EndingOf(s.cfg.Ending, run.Attempt)
-	ending.Frame(w)
+	ending := engine.EndingFor(s.cfg.Ending, run.Attempt)
+	ending.SetFraming(w)
 	// A caller that is gone needs no answer.
-	_, _ = w.Write(ending.Part(append(answer, '\n')))
+	_, _ = w.Write(ending.Truncate(append(answer, '\n')))
 }
