--- a/internal/days/days.go
+++ b/internal/days/days.go
@@ -68,8 +68,8 @@
 	return d
 }
 
-// Variant is a kind with one of its variants, as an entry without a time.
-type Variant struct {
+// Template is a kind with one of its variants, as an entry without a time.
+type Template struct {
 	entry Trouble
 	// span is for how many seconds it lasts, a third of the day at most; share
 	// is the bench's own figure, 0 where the entry holds one.
@@ -77,18 +77,18 @@
 }
 
 // Label returns kind, variant and the machines that it is bound to.
-func (v Variant) Label() string {
+func (v Template) Label() string {
 	return strings.Join(strings.Fields(v.entry.text("kind")+" "+v.entry.text("how")+" "+v.entry.text("on")), "/")
 }
 
-// Variants returns each kind alone, with each of its own variants, and as the
+// Templates returns each kind alone, with each of its own variants, and as the
 // site's own entries have it; each label once.
-func (s Site) Variants(kinds []Kind) (all []Variant) {
+func (s Site) Templates(kinds []Kind) (all []Template) {
 	for _, k := range kinds {
 		seen := map[string]bool{}
 		own := slices.DeleteFunc(slices.Clone(s.Troubles), func(t Trouble) bool { return t["kind"] != k.Name })
 		var wanted []Trouble
-		for _, how := range append([]string{""}, k.Hows...) {
+		for _, how := range append([]string{""}, k.Variants...) {
 			wanted = append(wanted, Trouble{"kind": k.Name, "how": how})
 		}
 		for _, t := range append(wanted, own...) {
@@ -103,29 +103,29 @@
 
 // variant takes the site's entry of that variant; without one it takes what the
 // bench has no figure for from the site's first entry of the kind.
-func (s Site) variant(k Kind, t Trouble, own []Trouble) Variant {
+func (s Site) variant(k Kind, t Trouble, own []Trouble) Template {
 	if i := slices.IndexFunc(own, func(o Trouble) bool { return o.text("how") == t.text("how") && o["on"] == t["on"] }); i >= 0 {
 		t = maps.Clone(own[i])
 	} else if len(own) > 0 {
 		for _, field := range []string{"share", "count", "x"} {
-			if _, ok := k.Figures[field]; !ok && own[0][field] != nil {
+			if _, ok := k.Defaults[field]; !ok && own[0][field] != nil {
 				t[field] = own[0][field]
 			}
 		}
 	}
-	v := Variant{entry: t, span: min(cmp.Or(t.num("for_s"), k.Figures["for_s"]), s.Length/3)}
+	v := Template{entry: t, span: min(cmp.Or(t.num("for_s"), k.Defaults["for_s"]), s.Length/3)}
 	if t["for_s"] != nil {
 		t["for_s"] = hundredths(v.span)
 	}
 	if t["share"] == nil && t["count"] == nil {
-		v.share = k.Figures["share"]
+		v.share = k.Defaults["share"]
 	}
 	return v
 }
 
 // at returns the entry at a time, moved so that it ends within the day. A share
 // that is the bench's own is drawn around it.
-func (s Site) at(r *rand.Rand, v Variant, at float64) Trouble {
+func (s Site) at(r *rand.Rand, v Template, at float64) Trouble {
 	t := maps.Clone(v.entry)
 	t["at"] = hundredths(max(0, min(at, s.Length-v.span)))
 	if v.share > 0 {
@@ -134,8 +134,8 @@
 	return t
 }
 
-// Wanted says which days to draw; its fields are arguments of a command.
-type Wanted struct {
+// Options says which days to draw; its fields are arguments of a command.
+type Options struct {
 	Seed    uint64   `arg:"--seed" default:"1" help:"first seed"`
 	Seeds   uint64   `arg:"--seeds" default:"1" help:"number of seeds"`
 	Shapes  []string `arg:"--shapes" help:"alone first end twice over pair; all if left out, none with --stop"`
@@ -156,9 +156,9 @@
 }
 
 // Draw returns the days that are wanted; the same ones for the same seeds.
-func (s Site) Draw(kinds []Kind, w Wanted) (all []Day, err error) {
+func (s Site) Draw(kinds []Kind, w Options) (all []Day, err error) {
 	s.Planned = append(slices.Clone(s.Planned), w.Planned...)
-	variants := s.Variants(kinds)
+	variants := s.Templates(kinds)
 	if len(w.Shapes) == 0 && w.Stop == "" {
 		w.Shapes = slices.Sorted(maps.Keys(shapes))
 	}
@@ -191,7 +191,7 @@
 	return all, nil
 }
 
-func (s Site) lay(r *rand.Rand, shape string, v Variant, others []Variant) []Trouble {
+func (s Site) lay(r *rand.Rand, shape string, v Template, others []Template) []Trouble {
 	p := shapes[shape]
 	at := between(r, p.from, p.to) * s.Length
 	if shape == "first" {
--- a/internal/days/days_test.go
+++ b/internal/days/days_test.go
@@ -69,14 +69,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds, err := days.Parse(kindsText)
+	kinds, err := days.ParseKinds(kindsText)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s, kinds
 }
 
-func draw(t *testing.T, w days.Wanted) []days.Day {
+func draw(t *testing.T, w days.Options) []days.Day {
 	t.Helper()
 	s, kinds := site(t)
 	w.Seeds = max(1, w.Seeds)
@@ -87,7 +87,7 @@
 	return all
 }
 
-var stops = days.Wanted{Seed: 1, Seeds: 20, Stop: "mach_halt", Beside: []string{"leave"}, Under: []string{"flood"}}
+var stops = days.Options{Seed: 1, Seeds: 20, Stop: "mach_halt", Beside: []string{"leave"}, Under: []string{"flood"}}
 
 func figure(t days.Trouble, field string) float64 {
 	if n, ok := t[field].(int64); ok {
@@ -112,8 +112,8 @@
 		}
 		hows := strings.FieldsFunc(want[k.Name], func(r rune) bool { return string(r) == sep })
 		slices.Sort(hows)
-		if !slices.Equal(k.Hows, hows) {
-			t.Errorf("%s: variants %q, want %q", k.Name, k.Hows, hows)
+		if !slices.Equal(k.Variants, hows) {
+			t.Errorf("%s: variants %q, want %q", k.Name, k.Variants, hows)
 		}
 	}
 	if len(kinds) != len(want) {
@@ -128,17 +128,17 @@
 		want        float64
 	}{{"serv_grey", "x", 0.4}, {"serv_grey", "share", 0.2}, {"serv_grey", "for_s", 5}, {"serv_grey", "gap_s", 1}, {"mach_halt", "share", 1}, {"leave", "share", 0.5}} {
 		i := slices.IndexFunc(kinds, func(k days.Kind) bool { return k.Name == tc.kind })
-		if got := kinds[i].Figures[tc.field]; got != tc.want {
+		if got := kinds[i].Defaults[tc.field]; got != tc.want {
 			t.Errorf("%s %s = %g, want %g", tc.kind, tc.field, got, tc.want)
 		}
 	}
-	if _, ok := kinds[0].Figures["x"]; ok {
+	if _, ok := kinds[0].Defaults["x"]; ok {
 		t.Errorf("%s has a figure for x, which its text doesn't give", kinds[0].Name)
 	}
 }
 
 func TestTextsOfAnotherFormAreErrors(t *testing.T) {
-	if _, err := days.Parse("usage: bench kinds SITE\n"); err == nil {
+	if _, err := days.ParseKinds("usage: bench kinds SITE\n"); err == nil {
 		t.Error("a text without kinds was read")
 	}
 	for _, text := range []string{"", "length_s = 'x'", strings.Replace(siteText, "34.0", "3.0", 1), strings.Replace(siteText, "grace_s = 8.0", "", 1), strings.ReplaceAll(siteText, `class = "front"`, `app = "x"`)} {
@@ -149,7 +149,7 @@
 }
 
 func TestSameSeedSameDays(t *testing.T) {
-	text := func(w days.Wanted) string {
+	text := func(w days.Options) string {
 		var b bytes.Buffer
 		for _, d := range draw(t, w) {
 			out, err := d.TOML()
@@ -160,7 +160,7 @@
 		}
 		return b.String()
 	}
-	for _, w := range []days.Wanted{{Seed: 7}, stops, {Seed: 7, Seeds: 3, Random: 9}} {
+	for _, w := range []days.Options{{Seed: 7}, stops, {Seed: 7, Seeds: 3, Random: 9}} {
 		one, again := text(w), text(w)
 		w.Seed++
 		if one != again || one == text(w) {
@@ -171,8 +171,8 @@
 
 // A day is the same whatever else is drawn beside it.
 func TestADayDependsOnNoOther(t *testing.T) {
-	all := draw(t, days.Wanted{Seed: 4, Shapes: []string{"alone", "twice"}})
-	few := draw(t, days.Wanted{Seed: 4, Shapes: []string{"twice"}, Only: []string{"serv_down/dark"}})
+	all := draw(t, days.Options{Seed: 4, Shapes: []string{"alone", "twice"}})
+	few := draw(t, days.Options{Seed: 4, Shapes: []string{"twice"}, Only: []string{"serv_down/dark"}})
 	if len(few) != 1 {
 		t.Fatalf("%d days of one variant and shape", len(few))
 	}
@@ -184,7 +184,7 @@
 
 func TestTroublesLieWithinTheDay(t *testing.T) {
 	s, _ := site(t)
-	for _, w := range []days.Wanted{{Seed: 1, Seeds: 20}, stops} {
+	for _, w := range []days.Options{{Seed: 1, Seeds: 20}, stops} {
 		for _, d := range draw(t, w) {
 			all := slices.Concat(d.Plan, d.Faults)
 			if len(all) == 0 {
@@ -202,7 +202,7 @@
 func TestShapes(t *testing.T) {
 	s, _ := site(t)
 	const span = 5
-	for _, d := range draw(t, days.Wanted{Seed: 1, Seeds: 20, Only: []string{"serv_grey"}}) {
+	for _, d := range draw(t, days.Options{Seed: 1, Seeds: 20, Only: []string{"serv_grey"}}) {
 		all := slices.Concat(d.Plan, d.Faults)
 		first, last := figure(all[0], "at"), figure(all[len(all)-1], "at")
 		shape := strings.Split(strings.TrimPrefix(d.Name, strings.ReplaceAll(d.Label, "/", "-")+"-"), "-")[0]
@@ -217,7 +217,7 @@
 }
 
 func TestEntriesTakeTheSitesOwnFigures(t *testing.T) {
-	all := draw(t, days.Wanted{Seed: 1, Shapes: []string{"alone"}})
+	all := draw(t, days.Options{Seed: 1, Shapes: []string{"alone"}})
 	entry := func(label string) days.Trouble {
 		i := slices.IndexFunc(all, func(d days.Day) bool { return d.Label == label })
 		if i < 0 {
@@ -240,7 +240,7 @@
 }
 
 func TestPlanHoldsPlannedWork(t *testing.T) {
-	for _, d := range draw(t, days.Wanted{Seed: 1, Planned: []string{"change"}}) {
+	for _, d := range draw(t, days.Options{Seed: 1, Planned: []string{"change"}}) {
 		for _, tr := range d.Plan {
 			if tr["kind"] != "leave" && tr["kind"] != "change" {
 				t.Errorf("%s plans %v", d.Name, tr)
@@ -294,7 +294,7 @@
 
 func TestWantedErrors(t *testing.T) {
 	s, kinds := site(t)
-	for _, w := range []days.Wanted{{Seeds: 1, Shapes: []string{"no"}}, {Seeds: 1, Only: []string{"no"}}, {Seeds: 1, Stop: "mach_halt", Under: []string{"no"}}, {}} {
+	for _, w := range []days.Options{{Seeds: 1, Shapes: []string{"no"}}, {Seeds: 1, Only: []string{"no"}}, {Seeds: 1, Stop: "mach_halt", Under: []string{"no"}}, {}} {
 		if all, err := s.Draw(kinds, w); err == nil {
 			t.Errorf("%+v gave %d days", w, len(all))
 		}
@@ -304,7 +304,7 @@
 // edited returns the tree of the site file after a deployment.
 func edited(t *testing.T, site, name string) map[string]any {
 	t.Helper()
-	text, err := days.Edit([]byte(site), name)
+	text, err := days.EditSite([]byte(site), name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -349,11 +349,11 @@
 	seen := map[string]bool{}
 	for seed := range 40 {
 		name := fmt.Sprintf("derived-%d", seed)
-		text, err := days.Edit([]byte(derivedSite), name)
+		text, err := days.EditSite([]byte(derivedSite), name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := days.Edit([]byte(derivedSite), name)
+		again, err := days.EditSite([]byte(derivedSite), name)
 		if err != nil || !bytes.Equal(text, again) {
 			t.Errorf("%s: got two texts of one seed (%v)", name, err)
 		}
@@ -371,7 +371,7 @@
 		}
 	}
 	for _, bad := range []string{"derived-", "derived-x", "derived--1"} {
-		if _, err := days.Edit([]byte(derivedSite), bad); err == nil || !strings.Contains(err.Error(), "derived-SEED") {
+		if _, err := days.EditSite([]byte(derivedSite), bad); err == nil || !strings.Contains(err.Error(), "derived-SEED") {
 			t.Errorf("%s: got %v, want an error that names the deployments", bad, err)
 		}
 	}
@@ -393,13 +393,13 @@
 
 func TestEditsOfEntries(t *testing.T) {
 	for name, want := range map[string]int{"one-entry": 1, "twelve-entries": 12} {
-		text, err := days.Edit([]byte(siteText), name)
+		text, err := days.EditSite([]byte(siteText), name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s, err := days.ParseSite(text)
-		if err != nil || s.Entries() != want {
-			t.Errorf("%s: %d entries, %v", name, s.Entries(), err)
+		if err != nil || s.EntryCount() != want {
+			t.Errorf("%s: %d entries, %v", name, s.EntryCount(), err)
 		}
 		if !strings.Contains(fmt.Sprint(s.Machines), "app:llm") {
 			t.Errorf("%s took other machines away: %v", name, s.Machines)
@@ -430,11 +430,11 @@
 	}
 	write("s.toml", siteText)
 	write("wire.json", "{}")
-	if _, err := days.Change(path, to, []string{"one-entry"}); err == nil {
+	if _, err := days.WriteEdited(path, to, []string{"one-entry"}); err == nil {
 		t.Error("no error without CUT beside the site file")
 	}
 	write("CUT", "9 x\n")
-	out, err := days.Change(path, to, []string{"one-entry", "thin-store"})
+	out, err := days.WriteEdited(path, to, []string{"one-entry", "thin-store"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -443,7 +443,7 @@
 			t.Error(err)
 		}
 	}
-	if _, err := days.Change(path, to, []string{"no-such"}); err == nil || !strings.Contains(err.Error(), "one-hall") {
+	if _, err := days.WriteEdited(path, to, []string{"no-such"}); err == nil || !strings.Contains(err.Error(), "one-hall") {
 		t.Errorf("want an error that names the deployments: %v", err)
 	}
 }
@@ -465,11 +465,11 @@
 		t.Errorf("%+v, %v; want %+v", r, err, want)
 	}
 	r, err = days.ParseResult(brokenOut)
-	if want := (days.Result{Worth: -0.063, Served: 0.985, Refused: 0.006, Failed: 0.009, Broken: "LOST 4, DRAIN 1"}); err != nil || r != want {
+	if want := (days.Result{Worth: -0.063, Served: 0.985, Refused: 0.006, Failed: 0.009, BrokenRules: "LOST 4, DRAIN 1"}); err != nil || r != want {
 		t.Errorf("%+v, %v; want %+v", r, err, want)
 	}
 	r, err = days.ParseResult(strings.Split(brokenOut, "rules broken")[0])
-	if err != nil || r.Broken != "LOST 4" {
+	if err != nil || r.BrokenRules != "LOST 4" {
 		t.Errorf("by the line of the day alone: %+v, %v", r, err)
 	}
 	if _, err = days.ParseResult("built in 0.0 s\nbench: the day can't be read\n"); err == nil || !strings.Contains(err.Error(), "can't be read") {
@@ -485,9 +485,9 @@
 	if err := os.WriteFile(program, []byte(script), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	all := draw(t, days.Wanted{Seed: 1, Seeds: 3, Shapes: []string{"alone"}, Only: []string{"flood"}})
+	all := draw(t, days.Options{Seed: 1, Seeds: 3, Shapes: []string{"alone"}, Only: []string{"flood"}})
 	plays := days.Bench(program).PlayAll(t.Context(), "s.toml", dir, all, 2, "because")
-	if len(plays) != 3 || plays[0].Broken != "LOST 4, DRAIN 1" || plays[1].Err == nil || plays[2].Err != nil {
+	if len(plays) != 3 || plays[0].BrokenRules != "LOST 4, DRAIN 1" || plays[1].Err == nil || plays[2].Err != nil {
 		t.Fatalf("%+v", plays)
 	}
 	out, err := os.ReadFile(plays[2].Path + ".out")
@@ -497,19 +497,19 @@
 }
 
 func TestTell(t *testing.T) {
-	day := func(label string, r days.Result, err error) days.Play {
-		return days.Play{Day: days.Day{Label: label, Seed: 5}, Path: "d.toml", Result: r, Err: err}
+	day := func(label string, r days.Result, err error) days.PlayedDay {
+		return days.PlayedDay{Day: days.Day{Label: label, Seed: 5}, Path: "d.toml", Result: r, Err: err}
 	}
 	kept, lost := day("b", days.Result{Worth: 0.5}, nil), day("c", days.Result{}, errors.New("given up"))
-	bad := day("a", days.Result{Worth: 0.25, Broken: "LOST 4"}, nil)
+	bad := day("a", days.Result{Worth: 0.25, BrokenRules: "LOST 4"}, nil)
 	for _, tc := range []struct {
-		plays  []days.Play
+		plays  []days.PlayedDay
 		broken bool
 		ok     bool
-	}{{[]days.Play{kept}, false, true}, {[]days.Play{kept, lost}, false, false}, {[]days.Play{kept, bad, lost}, true, false}} {
+	}{{[]days.PlayedDay{kept}, false, true}, {[]days.PlayedDay{kept, lost}, false, false}, {[]days.PlayedDay{kept, bad, lost}, true, false}} {
 		var b bytes.Buffer
-		err := days.Tell(&b, tc.plays, "bench run s.toml")
-		if errors.Is(err, days.ErrBroken) != tc.broken || (err == nil) != tc.ok {
+		err := days.WriteReport(&b, tc.plays, "bench run s.toml")
+		if errors.Is(err, days.ErrRulesBroken) != tc.broken || (err == nil) != tc.ok {
 			t.Errorf("%v: %s", err, b.String())
 		}
 		if tc.broken && !(strings.Contains(b.String(), "LOST 4: bench run s.toml d.toml --no-cpu --seed 5") && strings.Contains(b.String(), "given up") && strings.Contains(b.String(), "2      1  0.375")) {
--- a/internal/days/deploy.go
+++ b/internal/days/deploy.go
@@ -39,8 +39,8 @@
 // Deployments returns the names of the edits.
 func Deployments() []string { return slices.Sorted(maps.Keys(deployments)) }
 
-// Edit applies a deployment to the text of a site file.
-func Edit(text []byte, name string) ([]byte, error) {
+// EditSite applies a deployment to the text of a site file.
+func EditSite(text []byte, name string) ([]byte, error) {
 	change, t := deployments[name], tree{}
 	seed, derived := derivedSeed(name)
 	if change == nil && !derived {
@@ -58,14 +58,14 @@
 	return toml.Marshal(t)
 }
 
-// Change applies deployments to a site file, and writes the new one with what
+// WriteEdited applies deployments to a site file, and writes the new one with what
 // the bench wants beside it into dir.
-func Change(path, dir string, names []string) (string, error) {
+func WriteEdited(path, dir string, names []string) (string, error) {
 	base := filepath.Base(path)
 	for _, file := range []string{base, "wire.json", "CUT"} {
 		text, err := os.ReadFile(filepath.Join(filepath.Dir(path), file))
 		for i := 0; file == base && err == nil && i < len(names); i++ {
-			text, err = Edit(text, names[i])
+			text, err = EditSite(text, names[i])
 		}
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, file), text, 0o644)
--- a/internal/days/kinds.go
+++ b/internal/days/kinds.go
@@ -14,10 +14,10 @@
 // Kind is one kind of trouble as the bench describes it.
 type Kind struct {
 	Name string
-	// Figures are the values that hold for a field that an entry leaves out.
-	Figures map[string]float64
-	// Hows are the variants beside the plain one, each once, none empty.
-	Hows []string
+	// Defaults are the values that hold for a field that an entry leaves out.
+	Defaults map[string]float64
+	// Variants are the variants beside the plain one, each once, none empty.
+	Variants []string
 }
 
 var (
@@ -40,8 +40,8 @@
 	prose = strings.Fields("a also are as at else for from in is it its of on or says that the they these those to which with After may stand")
 )
 
-// Parse reads the text that the bench prints of the kinds of a site.
-func Parse(text string) (kinds []Kind, err error) {
+// ParseKinds reads the text that the bench prints of the kinds of a site.
+func ParseKinds(text string) (kinds []Kind, err error) {
 	head, strikes, last := "", map[string][]int{}, ""
 	for line := range strings.Lines(text) {
 		m := kindLine.FindStringSubmatch(strings.TrimSpace(line))
@@ -55,7 +55,7 @@
 		if strings.Contains(m[2], "share (") || subject.MatchString(m[2]) { // else it strikes neither
 			strikes[last] = append(strikes[last], len(kinds))
 		}
-		kinds = append(kinds, Kind{Name: m[1], Figures: figures(ownFigure, m[2]), Hows: listed(howMark.Split(bare(m[2]), -1)[1:])})
+		kinds = append(kinds, Kind{Name: m[1], Defaults: figures(ownFigure, m[2]), Variants: listed(howMark.Split(bare(m[2]), -1)[1:])})
 	}
 	spans, general := figures(spanFigure, head), generalHow.FindAllStringSubmatch(bare(head), -1)
 	if len(kinds) == 0 || spans["for_s"] == 0 {
@@ -64,15 +64,15 @@
 	for i := range kinds {
 		k := &kinds[i]
 		for field, v := range spans {
-			k.Figures[field] = v
+			k.Defaults[field] = v
 		}
 		for _, m := range general {
 			if slices.Contains(strikes[m[1]], i) {
-				k.Hows = append(k.Hows, generalWords(k.Name, m[2])...)
+				k.Variants = append(k.Variants, generalWords(k.Name, m[2])...)
 			}
 		}
-		slices.Sort(k.Hows)
-		k.Hows = slices.Compact(k.Hows)
+		slices.Sort(k.Variants)
+		k.Variants = slices.Compact(k.Variants)
 	}
 	return kinds, nil
 }
--- a/internal/days/play.go
+++ b/internal/days/play.go
@@ -16,15 +16,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ErrBroken says that days were played and a rule was broken.
-var ErrBroken = errors.New("rules were broken")
+// ErrRulesBroken says that days were played and a rule was broken.
+var ErrRulesBroken = errors.New("rules were broken")
 
 // Result is what the bench says of a day that it played.
 type Result struct {
 	// Worth, Served, Refused and Failed are shares of 1; Worth may fall below 0.
 	Worth, Served, Refused, Failed float64
-	// Broken names the broken rules as the bench does; empty if all were kept.
-	Broken string
+	// BrokenRules names the broken rules as the bench does; empty if all were kept.
+	BrokenRules string
 }
 
 var (
@@ -44,9 +44,9 @@
 			return r, fmt.Errorf("line of the day: %w", err)
 		}
 	}
-	r.Broken = m[5]
+	r.BrokenRules = m[5]
 	if b := broken.FindStringSubmatch(out); b != nil {
-		r.Broken = b[1]
+		r.BrokenRules = b[1]
 	}
 	return r, nil
 }
@@ -60,11 +60,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s kinds %s: %w: %s", b, site, err, out)
 	}
-	return Parse(string(out))
+	return ParseKinds(string(out))
 }
 
-// Play is a day with what became of it.
-type Play struct {
+// PlayedDay is a day with what became of it.
+type PlayedDay struct {
 	Day
 	Result
 	// Path is that of the day file; the output lies beside it.
@@ -74,8 +74,8 @@
 }
 
 // PlayAll plays days whose files lie in dir, some at once.
-func (b Bench) PlayAll(ctx context.Context, site, dir string, all []Day, jobs int, why string) []Play {
-	plays := make([]Play, len(all))
+func (b Bench) PlayAll(ctx context.Context, site, dir string, all []Day, jobs int, why string) []PlayedDay {
+	plays := make([]PlayedDay, len(all))
 	var g errgroup.Group
 	g.SetLimit(max(1, jobs))
 	for i, d := range all {
@@ -88,10 +88,10 @@
 	return plays
 }
 
-func (b Bench) play(ctx context.Context, site string, d Day, path, why string) Play {
+func (b Bench) play(ctx context.Context, site string, d Day, path, why string) PlayedDay {
 	cmd := exec.CommandContext(ctx, string(b), "run", site, path, "--no-cpu", "--jobs", "1", "--seed", strconv.FormatUint(d.Seed, 10), "--why", why+": "+d.Name)
 	out, failed := cmd.CombinedOutput()
-	p, kept := Play{Day: d, Path: path}, path+".out"
+	p, kept := PlayedDay{Day: d, Path: path}, path+".out"
 	if p.Result, p.Err = ParseResult(string(out)); p.Err != nil {
 		p.Err = fmt.Errorf("%s: %w (run: %v); see %s, or play fewer at once", path, p.Err, failed, kept)
 	}
@@ -107,9 +107,9 @@
 	days, broken int
 }
 
-// Tell prints each broken or unplayed day, with the run that plays it again,
+// WriteReport prints each broken or unplayed day, with the run that plays it again,
 // then a table with a row for each label. Its error says if there was any.
-func Tell(w io.Writer, plays []Play, run string) error {
+func WriteReport(w io.Writer, plays []PlayedDay, run string) error {
 	all, rows, unplayed := row{}, map[string]*row{}, 0
 	for _, p := range plays {
 		if rows[p.Label] == nil {
@@ -120,8 +120,8 @@
 			fmt.Fprintln(w, "not played:", p.Err)
 			continue
 		}
-		if p.Broken != "" {
-			fmt.Fprintf(w, "broken: %s: %s %s --no-cpu --seed %d --why TEXT\n", p.Broken, run, p.Path, p.Seed)
+		if p.BrokenRules != "" {
+			fmt.Fprintf(w, "broken: %s: %s %s --no-cpu --seed %d --why TEXT\n", p.BrokenRules, run, p.Path, p.Seed)
 		}
 		rows[p.Label].add(p.Result)
 		all.add(p.Result)
@@ -132,7 +132,7 @@
 	}
 	fmt.Fprintf(w, "%-40s %s\n%d days were not played\n", "all", &all, unplayed)
 	if all.broken > 0 {
-		return ErrBroken
+		return ErrRulesBroken
 	} else if unplayed > 0 {
 		return fmt.Errorf("%d days were not played", unplayed)
 	}
@@ -140,7 +140,7 @@
 }
 
 func (r *row) add(o Result) {
-	if r.days++; o.Broken != "" {
+	if r.days++; o.BrokenRules != "" {
 		r.broken++
 	}
 	r.Worth, r.Served, r.Refused, r.Failed = r.Worth+o.Worth, r.Served+o.Served, r.Refused+o.Refused, r.Failed+o.Failed
--- a/internal/days/playdays/main.go
+++ b/internal/days/playdays/main.go
@@ -24,7 +24,7 @@
 	Jobs   int        `arg:"--jobs" default:"2" help:"days that are played at once"`
 	Why    string     `arg:"--why" default:"Days of our own" help:"line for the journal"`
 	List   bool       `arg:"--list" help:"write the days, play none"`
-	days.Wanted
+	days.Options
 }
 
 func main() {
@@ -37,7 +37,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "playdays:", err)
-	if errors.Is(err, days.ErrBroken) {
+	if errors.Is(err, days.ErrRulesBroken) {
 		os.Exit(1)
 	}
 	os.Exit(2)
@@ -46,7 +46,7 @@
 func run(ctx context.Context, a args) error {
 	err := os.MkdirAll(a.Dir, 0o755)
 	if err == nil && len(a.Deploy) > 0 {
-		a.Site, err = days.Change(a.Site, a.Dir, a.Deploy)
+		a.Site, err = days.WriteEdited(a.Site, a.Dir, a.Deploy)
 	}
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	all, err := site.Draw(kinds, a.Wanted)
+	all, err := site.Draw(kinds, a.Options)
 	if err != nil {
 		return err
 	}
@@ -79,5 +79,5 @@
 		return nil
 	}
 	plays := a.Bench.PlayAll(ctx, a.Site, a.Dir, all, a.Jobs, a.Why)
-	return days.Tell(os.Stdout, plays, fmt.Sprintf("%s run %s", a.Bench, a.Site))
+	return days.WriteReport(os.Stdout, plays, fmt.Sprintf("%s run %s", a.Bench, a.Site))
 }
--- a/internal/days/site.go
+++ b/internal/days/site.go
@@ -52,8 +52,8 @@
 	if err := toml.Unmarshal(text, &s); err != nil {
 		return s, fmt.Errorf("site file: %w", err)
 	}
-	if s.Length < minLength || s.Lead < 0 || s.Bounds.Grace <= 0 || s.Entries() < 1 {
-		return s, fmt.Errorf("site file: length_s %g (%g at least), lead_s %g, bounds.grace_s %g, %d machines without app; give a site file of the bench", s.Length, minLength, s.Lead, s.Bounds.Grace, s.Entries())
+	if s.Length < minLength || s.Lead < 0 || s.Bounds.Grace <= 0 || s.EntryCount() < 1 {
+		return s, fmt.Errorf("site file: length_s %g (%g at least), lead_s %g, bounds.grace_s %g, %d machines without app; give a site file of the bench", s.Length, minLength, s.Lead, s.Bounds.Grace, s.EntryCount())
 	}
 	for _, d := range s.Days {
 		s.Troubles = slices.Concat(s.Troubles, d.Plan, d.Faults)
@@ -64,8 +64,8 @@
 	return s, nil
 }
 
-// Entries returns the number of entry machines: those that stand by no app.
-func (s Site) Entries() (n int) {
+// EntryCount returns the number of entry machines: those that stand by no app.
+func (s Site) EntryCount() (n int) {
 	for _, m := range s.Machines {
 		if m["app"] == nil {
 			n += int(m.num("count"))
--- a/internal/days/stops.go
+++ b/internal/days/stops.go
@@ -21,12 +21,12 @@
 // stops returns the days of planned stops for a seed, none if no kind that
 // stops entries is named. What is wanted beside comes while some are away, what
 // is wanted under them lasts meanwhile.
-func (s Site) stops(w Wanted, variants []Variant, seed uint64) (all []Day, err error) {
+func (s Site) stops(w Options, variants []Template, seed uint64) (all []Day, err error) {
 	if w.Stop == "" {
 		return nil, nil
 	}
 	s.Planned = append(slices.Clone(s.Planned), w.Stop)
-	n := s.Entries()
+	n := s.EntryCount()
 	uneven := func(r *rand.Rand) int { return min(n, n/2+1+r.IntN(n/2+1)) }
 	singly := func(*rand.Rand) int { return 1 }
 	moment := func(*rand.Rand) int { return n }
@@ -38,7 +38,7 @@
 	add("singly", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, singly) })
 	add("moment", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, moment) })
 	for i, name := range slices.Concat(w.Beside, w.Under) {
-		at := slices.IndexFunc(variants, func(v Variant) bool { return v.entry["kind"] == name })
+		at := slices.IndexFunc(variants, func(v Template) bool { return v.entry["kind"] == name })
 		if at < 0 {
 			return nil, fmt.Errorf("stops: the bench has no kind %q for this site; its verb kinds names them", name)
 		}
@@ -58,12 +58,12 @@
 }
 
 // away lays an entry into the absence after a stop.
-func (s Site) away(r *rand.Rand, v Variant, stop float64) Trouble {
+func (s Site) away(r *rand.Rand, v Template, stop float64) Trouble {
 	return s.at(r, v, stop+between(r, 0, s.Bounds.Grace/2))
 }
 
 // over lays an entry over a stop, from before it until most are back.
-func (s Site) over(r *rand.Rand, v Variant, stop float64) Trouble {
+func (s Site) over(r *rand.Rand, v Template, stop float64) Trouble {
 	t := s.at(r, v, 0)
 	at := hundredths(max(0, stop-r.Float64()))
 	t["at"], t["for_s"] = at, hundredths(min(s.Bounds.Grace, s.Length-at))
@@ -76,7 +76,7 @@
 	for at := firstStop + r.Float64(); ; at += between(r, 0.1, 1) {
 		n, gap := size(r), hundredths(between(r, shortGap, longGap))
 		t := Trouble{"at": hundredths(at), "kind": kind, "share": 1.0, "x": float64(n), "gap_s": gap}
-		at += float64((s.Entries()-1)/n)*gap + s.Bounds.Grace + restart
+		at += float64((s.EntryCount()-1)/n)*gap + s.Bounds.Grace + restart
 		if at > s.Length && len(all) > 0 {
 			return all
 		}
@@ -90,7 +90,7 @@
 func (s Site) groups(r *rand.Rand, kind string) (all []Trouble) {
 	last := s.Length - s.Bounds.Grace
 	for at := firstStop; at <= last; at += s.Bounds.Grace + restart + r.Float64() {
-		for left := s.Entries(); left > 0 && at <= last; at += between(r, shortGap, longGap) {
+		for left := s.EntryCount(); left > 0 && at <= last; at += between(r, shortGap, longGap) {
 			size := 1 + r.IntN(left)
 			left -= size
 			all = append(all, Trouble{"at": hundredths(at), "kind": kind, "count": size, "x": float64(size)})
