--- a/internal/clocktest/hands.go
+++ b/internal/clocktest/hands.go
@@ -1,5 +1,5 @@
-// Package clocktest has hands of a clock that tests move apart, as a suspension or a set
-// time of day does.
+// Package clocktest provides a time source of a clock for tests, which can simulate a
+// suspension of the instance or a change of the wall time.
 package clocktest
 
 import (
@@ -9,60 +9,60 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Source go with the machine's, apart from what a test moves.
+// Source follows the machine's clocks, apart from simulated suspensions and steps.
 type Source struct {
 	start time.Time
 
 	mu sync.Mutex
-	// suspended is what the steady time leaves out, set what the time of day was set by.
-	suspended, set time.Duration
-	// noBoot is true for an instance that does not tell the time since its boot.
-	noBoot bool
-	boots  int
+	// suspended is missing from the steady time, step is the sum of the steps of the
+	// wall time.
+	suspended, step time.Duration
+	noBootTime      bool
+	bootTimeReads   int
 }
 
 var _ clock.Source = (*Source)(nil)
 
-// New returns hands that nothing has moved.
+// New returns a source without suspensions or steps.
 func New() *Source { return &Source{start: time.Now()} }
 
-// NewWithoutBootTime returns hands of an instance that does not tell the time since its boot.
-func NewWithoutBootTime() *Source { return &Source{start: time.Now(), noBoot: true} }
+// NewWithoutBootTime returns a source of an instance that does not provide the time since boot.
+func NewWithoutBootTime() *Source { return &Source{start: time.Now(), noBootTime: true} }
 
-// Suspend makes the instance have been suspended for d: all but the steady time, and the
-// timers, went on.
-func (h *Source) Suspend(d time.Duration) { h.SuspendAndStep(d, 0) }
+// Suspend simulates that the instance was suspended for d: the wall time and the time since
+// boot include d, the steady time and the timers do not.
+func (s *Source) Suspend(d time.Duration) { s.SuspendAndStep(d, 0) }
 
-// StepWallTime moves the time of day by d.
-func (h *Source) StepWallTime(d time.Duration) { h.SuspendAndStep(0, d) }
+// StepWallTime moves the wall time by d.
+func (s *Source) StepWallTime(d time.Duration) { s.SuspendAndStep(0, d) }
 
-// SuspendAndStep does both at the same moment.
-func (h *Source) SuspendAndStep(suspended, set time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.suspended += suspended
-	h.set += set
+// SuspendAndStep does both at once.
+func (s *Source) SuspendAndStep(suspended, step time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.suspended += suspended
+	s.step += step
 }
 
-// BootTimeReads returns how often the time since the boot was read.
-func (h *Source) BootTimeReads() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.boots
+// BootTimeReads returns how often the time since boot was read.
+func (s *Source) BootTimeReads() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.bootTimeReads
 }
 
 // Read implements clock.Source.
-func (h *Source) Read() (steady, day time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	steady = time.Since(h.start)
-	return steady, steady + h.suspended + h.set
+func (s *Source) Read() (steady, wall time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	steady = time.Since(s.start)
+	return steady, steady + s.suspended + s.step
 }
 
 // SinceBoot implements clock.Source.
-func (h *Source) SinceBoot() (time.Duration, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.boots++
-	return time.Since(h.start) + h.suspended, !h.noBoot
+func (s *Source) SinceBoot() (time.Duration, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.bootTimeReads++
+	return time.Since(s.start) + s.suspended, !s.noBootTime
 }
--- a/internal/clocktest/process.go
+++ b/internal/clocktest/process.go
@@ -12,61 +12,61 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// SuspensionsEnv names a file with the milliseconds for which a process of a test counts
-// as suspended so far.
+// SuspensionsEnv names a file with the total simulated suspension of a test's process, in
+// milliseconds.
 const SuspensionsEnv = "WELDFALL_TEST_SUSPENSIONS"
 
-// ResumeSignal is the signal on which such a process reads the file. One that does not know of
-// it is not ended by it.
+// ResumeSignal makes such a process read the file. A process without a handler ignores it.
 const ResumeSignal = syscall.SIGWINCH
 
-// SimulateSuspensions makes the clocks of this process leave out what the file of SuspensionsEnv
-// says, if that is set, as the steady clock of an instance does that was suspended.
-// Stopped for as long by a signal the process has been indeed, but its timers went on.
+// SimulateSuspensions makes the steady clock of this process leave out the time in the file of
+// SuspensionsEnv, if that is set, as after a suspension of the instance. A test that stops the
+// process by a signal for as long does suspend it, but its timers go on.
 func SimulateSuspensions() {
 	path := os.Getenv(SuspensionsEnv)
 	if path == "" {
 		return
 	}
-	h := &fileHands{start: time.Now(), path: path}
-	h.read()
-	h.before = h.out.Load()
+	s := &fileSource{start: time.Now(), path: path}
+	s.read()
+	s.initial = s.suspended.Load()
 	resumed := make(chan os.Signal, 1)
 	signal.Notify(resumed, ResumeSignal)
 	go func() {
 		for range resumed {
-			h.read()
+			s.read()
 		}
 	}()
-	clock.SetSystemSource(func() clock.Source { return h })
+	clock.SetSystemSource(func() clock.Source { return s })
 }
 
-// fileHands are the machine's hands of which the steady one lags.
-type fileHands struct {
+// fileSource follows the machine's clocks, but its steady time leaves the suspensions out.
+type fileSource struct {
 	start time.Time
 	path  string
-	// before is what was left out before the process began, as it is of a steady time
-	// that is counted from the boot, and out is with what was since, in nanoseconds.
-	before int64
-	out    atomic.Int64
+	// initial is the total suspension at the start of the process and suspended the
+	// current one, in nanoseconds. Only their difference is missing from the steady
+	// time, which counts from the start of the process.
+	initial   int64
+	suspended atomic.Int64
 }
 
-// read takes what the file says. Without one nothing is left out.
-func (h *fileHands) read() {
-	text, err := os.ReadFile(h.path)
+// read updates the total suspension from the file. Without a valid file it changes nothing.
+func (s *fileSource) read() {
+	text, err := os.ReadFile(s.path)
 	if err != nil {
 		return
 	}
 	if ms, err := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64); err == nil {
-		h.out.Store(ms * int64(time.Millisecond))
+		s.suspended.Store(ms * int64(time.Millisecond))
 	}
 }
 
 // Read implements clock.Source.
-func (h *fileHands) Read() (steady, day time.Duration) {
+func (s *fileSource) Read() (steady, wall time.Duration) {
 	now := time.Now()
-	return now.Sub(h.start) - time.Duration(h.out.Load()-h.before), time.Duration(now.UnixNano())
+	return now.Sub(s.start) - time.Duration(s.suspended.Load()-s.initial), time.Duration(now.UnixNano())
 }
 
 // SinceBoot implements clock.Source.
-func (h *fileHands) SinceBoot() (time.Duration, bool) { return time.Since(h.start), true }
+func (s *fileSource) SinceBoot() (time.Duration, bool) { return time.Since(s.start), true }
--- a/internal/linktest/linktest.go
+++ b/internal/linktest/linktest.go
@@ -1,4 +1,4 @@
-// Package linktest has the link of package proxy for tests.
+// Package linktest provides links of package proxy for tests.
 package linktest
 
 import (
@@ -8,20 +8,20 @@
 	"github.com/weldfall/weldfall/internal/proxy"
 )
 
-// Direction is the way that bytes go on a connection.
+// Direction is a direction of data on a connection.
 type Direction = proxy.Direction
 
-// The ways of a connection: from the end that dialed, to it, and both.
+// The directions of a connection, as in package proxy.
 const (
 	ToTarget   = proxy.ToTarget
 	FromTarget = proxy.FromTarget
 	Both       = proxy.Both
 )
 
-// Link passes connections on to an address.
+// Link forwards connections to a target.
 type Link struct{ *proxy.Link }
 
-// New returns a link to target that lasts as long as the test.
+// New returns a link to target that is closed at the end of the test.
 func New(t testing.TB, target string) *Link {
 	t.Helper()
 	l, err := proxy.New(target)
@@ -32,5 +32,5 @@
 	return &Link{l}
 }
 
-// Silence makes the connections that are open now silent.
-func (l *Link) Silence(w Direction) { l.Link.Silence(w, math.MaxInt) }
+// Silence silences a direction of all open connections.
+func (l *Link) Silence(d Direction) { l.Link.Silence(d, math.MaxInt) }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,6 @@
-// Package proxy has a link between processes for tests and for the soak: it carries
-// connections to an address, and can be late, lose what goes one way or both, reset,
-// carry only so many bytes a second, or let the connections that are open fall silent
-// for good while new ones work.
+// Package proxy provides a TCP proxy that injects faults, for tests and for the soak. It can
+// delay data, drop data in one or both directions, reset connections, limit the byte rate,
+// and silence open connections for good while new ones work.
 package proxy
 
 import (
@@ -12,28 +11,28 @@
 	"time"
 )
 
-// Direction is the way that bytes go on a connection.
+// Direction is a direction of data on a connection.
 type Direction string
 
 const (
-	// ToTarget is from the end that dialed, Back is to it.
+	// ToTarget is from the dialing end to the target, FromTarget the opposite.
 	ToTarget   Direction = "there"
 	FromTarget Direction = "back"
 	Both       Direction = "both"
 )
 
-// covers reports whether w is one way or both of which the other is one.
-func (w Direction) covers(one Direction) bool { return w == Both || w == one }
+// includes reports whether d is Both or other.
+func (d Direction) includes(other Direction) bool { return d == Both || d == other }
 
-// back returns the opposite of There or Back.
-func (w Direction) back() Direction {
-	if w == ToTarget {
+// opposite returns the opposite of ToTarget or FromTarget.
+func (d Direction) opposite() Direction {
+	if d == ToTarget {
 		return FromTarget
 	}
 	return ToTarget
 }
 
-// Fault is what a link does to all that it carries, for as long as it lasts.
+// Fault is a fault of a link. It affects all data on the link until the next SetFault.
 type Fault string
 
 const (
@@ -50,7 +49,7 @@
 	Resets Fault = "resets"
 )
 
-// DroppedDirection returns the way on which a fault drops what goes, "" if it drops nothing.
+// DroppedDirection returns the direction whose data a fault drops, "" for none.
 func (f Fault) DroppedDirection() Direction {
 	switch f {
 	case Cut:
@@ -64,48 +63,46 @@
 }
 
 const (
-	// delay is what a delayed link adds to each piece.
+	// delay is added to each chunk by a delayed link.
 	delay = 150 * time.Millisecond
-	// pieceBytes is what is copied at once.
-	pieceBytes = 8 << 10
-	// bufferBytes is what waits in the kernel on either side at most; with less
-	// than a segment of loopback it deals out bytes by timers.
+	// chunkBytes is the most that is read at once.
+	chunkBytes = 8 << 10
+	// bufferBytes is the size of the kernel's buffers. With less than a segment of the
+	// loopback device the kernel releases data by timers.
 	bufferBytes = 128 << 10
 )
 
-// Link carries connections to an address. It is safe for concurrent use.
+// Link forwards connections to a target. It is safe for concurrent use.
 type Link struct {
 	ln     net.Listener
 	target string
 
 	mu    sync.Mutex
 	fault Fault
-	open  map[*pair]bool
-	// dials counts the connections that were carried, lost the pieces on their way
-	// there that were dropped.
+	open  map[*proxiedConn]bool
 	dials int
-	lost  int
-	// pace is how many bytes a second all connections together carry back, 0 if
-	// there is no bound; back counts those that they carried.
-	pace int
-	back int64
-
-	// turn is held while a piece is on its way back: connections share the link.
-	turn sync.Mutex
+	// droppedChunks counts those of the direction to the target.
+	droppedChunks int
+	// rate limits the bytes per second from the target over all connections, 0 for no
+	// limit.
+	rate            int
+	bytesFromTarget int64
+
+	// rateMu is held while a chunk from the target is forwarded: connections share the
+	// rate.
+	rateMu sync.Mutex
 }
 
-// pair is a connection that is carried. Both ends are acknowledged by the kernel, so
-// that only a time-out of a process's own tells that it is silent. What changes is
-// guarded by the link's mu.
-type pair struct {
-	near, far *net.TCPConn
-	// silent is the way on which bytes and the end are dropped for good, "" for
-	// none.
+// proxiedConn is a forwarded connection. The kernel acknowledges data at both ends, so only
+// a process's own timeout detects silence. Link.mu guards its changing fields.
+type proxiedConn struct {
+	dialer, target *net.TCPConn
+	// silent is the direction whose data and end are dropped for good, "" for none.
 	silent Direction
-	// ended has the ways on which the sending end has closed.
+	// ended has the directions whose sending end has closed.
 	ended map[Direction]bool
-	// lost is true once a fault dropped bytes.
-	lost bool
+	// droppedData is true once a fault dropped data.
+	droppedData bool
 }
 
 // New returns a link to target.
@@ -114,93 +111,92 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{ln: ln, target: target, fault: NoFault, open: map[*pair]bool{}}
+	l := &Link{ln: ln, target: target, fault: NoFault, open: map[*proxiedConn]bool{}}
 	go l.accept()
 	return l, nil
 }
 
-// Addr returns host:port of the near end.
+// Addr returns the host:port at which the link listens.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// SetFault changes what the link does. Connections that lost bytes are reset when the fault that
-// took them is over: what came after the bytes that are missing would follow on those before.
+// SetFault changes the fault of the link. It resets the connections of which the previous
+// fault dropped data: later data would otherwise follow directly on that before the gap.
 func (l *Link) SetFault(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := f != l.fault
+	changed := f != l.fault
 	l.fault = f
 	for p := range l.open {
-		if f == Resets || (over && p.lost) {
+		if f == Resets || (changed && p.droppedData) {
 			p.reset()
 		}
 	}
 }
 
-// Silence makes up to so many of the open connections that are not silent so on a way.
-func (l *Link) Silence(w Direction, most int) {
+// Silence silences a direction of at most limit of the open connections that are not silent.
+func (l *Link) Silence(d Direction, limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.open {
-		if most == 0 {
+		if limit == 0 {
 			return
 		}
 		if p.silent == "" {
-			p.silent = w
-			most--
+			p.silent = d
+			limit--
 		}
 	}
 }
 
-// SetRate bounds how many bytes a second the link carries back, over all its
-// connections.
-func (l *Link) SetRate(bytes int) {
+// SetRate limits the bytes per second from the target over all connections.
+func (l *Link) SetRate(bytesPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pace = bytes
+	l.rate = bytesPerSecond
 }
 
-// BytesFromTarget returns how many bytes the link carried back.
+// BytesFromTarget returns the number of bytes received from the target.
 func (l *Link) BytesFromTarget() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.back
+	return l.bytesFromTarget
 }
 
-// OpenConns returns how many connections are open at either end.
+// OpenConns returns the number of connections that are open at either end.
 func (l *Link) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
 }
 
-// Dials returns how many connections were carried.
+// Dials returns the number of connections forwarded so far.
 func (l *Link) Dials() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dials
 }
 
-// DroppedChunks returns how many pieces were dropped on their way there.
+// DroppedChunks returns the number of chunks to the target that were dropped.
 func (l *Link) DroppedChunks() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lost
+	return l.droppedChunks
 }
 
-// HalfOpenConns returns how many silent connections the far end still keeps open.
+// HalfOpenConns returns the number of silent connections that the target keeps open.
 func (l *Link) HalfOpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for p := range l.open {
-		if p.silent.covers(ToTarget) && !p.ended[FromTarget] {
+		if p.silent.includes(ToTarget) && !p.ended[FromTarget] {
 			n++
 		}
 	}
 	return n
 }
 
-// Close ends the link and its connections.
+// Close closes the listener and resets the connections.
 func (l *Link) Close() {
 	_ = l.ln.Close()
 	l.SetFault(Resets)
@@ -208,26 +204,26 @@
 
 func (l *Link) accept() {
 	for {
-		near, err := l.ln.Accept()
+		dialer, err := l.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			go l.carry(near.(*net.TCPConn))
+			go l.serve(dialer.(*net.TCPConn))
 		}
 	}
 }
 
-func (l *Link) carry(near *net.TCPConn) {
-	far, err := net.Dial("tcp", l.target)
+func (l *Link) serve(dialer *net.TCPConn) {
+	target, err := net.Dial("tcp", l.target)
 	if err != nil {
-		_ = near.Close()
+		_ = dialer.Close()
 		return
 	}
-	p := &pair{near: near, far: far.(*net.TCPConn), ended: map[Direction]bool{}}
-	// What waits in the kernel is not on the link: a slow link holds little.
-	_ = p.near.SetWriteBuffer(bufferBytes)
-	_ = p.far.SetReadBuffer(bufferBytes)
+	p := &proxiedConn{dialer: dialer, target: target.(*net.TCPConn), ended: map[Direction]bool{}}
+	// Buffered data is not subject to the rate.
+	_ = p.dialer.SetWriteBuffer(bufferBytes)
+	_ = p.target.SetReadBuffer(bufferBytes)
 	l.mu.Lock()
 	if l.fault == Resets {
 		l.mu.Unlock()
@@ -237,99 +233,100 @@
 	l.open[p] = true
 	l.dials++
 	l.mu.Unlock()
-	go l.pump(p, ToTarget, p.near, p.far)
-	go l.pump(p, FromTarget, p.far, p.near)
+	go l.forward(p, ToTarget, p.dialer, p.target)
+	go l.forward(p, FromTarget, p.target, p.dialer)
 }
 
-func (p *pair) close() { _, _ = p.near.Close(), p.far.Close() }
+func (p *proxiedConn) close() { _, _ = p.dialer.Close(), p.target.Close() }
 
-// reset ends both connections so that neither end takes what it got for all: an answer
+// reset resets both ends, so that neither takes the data so far for complete: a response
 // without a length ends with its connection.
-func (p *pair) reset() {
-	// Connections that are closed already have no linger to set.
-	_, _ = p.near.SetLinger(0), p.far.SetLinger(0)
+func (p *proxiedConn) reset() {
+	// Fails on a connection that is closed already.
+	_, _ = p.dialer.SetLinger(0), p.target.SetLinger(0)
 	p.close()
 }
 
-// pump copies one way until the sending end closes or resets, and then tells the other
-// end so unless the way is silent.
-func (l *Link) pump(p *pair, w Direction, from, to *net.TCPConn) {
-	buf := make([]byte, pieceBytes)
+// forward copies one direction until the sending end closes or resets, and then passes the
+// end on unless the direction is silent.
+func (l *Link) forward(p *proxiedConn, d Direction, from, to *net.TCPConn) {
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
-		if w == FromTarget {
-			l.carryBack(n)
+		if d == FromTarget {
+			l.throttle(n)
 		}
-		drop, late := l.took(p, w, n)
+		drop, late := l.recordChunk(p, d, n)
 		if late {
 			time.Sleep(delay)
 		}
 		if n > 0 && !drop {
-			// Where the other end's close is not heard, what goes there is lost.
-			if _, werr := to.Write(buf[:n]); werr != nil && !l.isSilent(p, w.back()) {
+			// The end of a silent direction is not passed on, so writes to it
+			// may fail.
+			if _, werr := to.Write(buf[:n]); werr != nil && !l.isSilent(p, d.opposite()) {
 				_ = from.Close()
 			}
 		}
 		if err != nil {
-			if (!errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) || l.lostBytes(p)) && !l.isSilent(p, w) {
+			if (!errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) || l.hasDroppedData(p)) && !l.isSilent(p, d) {
 				p.reset()
 			}
-			l.end(p, w, to)
+			l.end(p, d, to)
 			return
 		}
 	}
 }
 
-// carryBack takes the time that n bytes need on their way back.
-func (l *Link) carryBack(n int) {
+// throttle counts n bytes from the target and waits as long as they take at the rate.
+func (l *Link) throttle(n int) {
 	l.mu.Lock()
-	pace := l.pace
-	l.back += int64(n)
+	rate := l.rate
+	l.bytesFromTarget += int64(n)
 	l.mu.Unlock()
-	if pace == 0 {
+	if rate == 0 {
 		return
 	}
-	l.turn.Lock()
-	defer l.turn.Unlock()
-	time.Sleep(time.Duration(n) * time.Second / time.Duration(pace))
+	l.rateMu.Lock()
+	defer l.rateMu.Unlock()
+	time.Sleep(time.Duration(n) * time.Second / time.Duration(rate))
 }
 
-// took counts a piece of n bytes and reports whether it is dropped, or late.
-func (l *Link) took(p *pair, w Direction, n int) (drop, late bool) {
+// recordChunk records a chunk of n bytes and reports whether to drop or to delay it.
+func (l *Link) recordChunk(p *proxiedConn, d Direction, n int) (drop, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n == 0 {
 		return false, false
 	}
-	if l.fault.DroppedDirection().covers(w) {
-		p.lost, drop = true, true
+	if l.fault.DroppedDirection().includes(d) {
+		p.droppedData, drop = true, true
 	}
-	drop = drop || p.silent.covers(w)
-	if drop && w == ToTarget {
-		l.lost++
+	drop = drop || p.silent.includes(d)
+	if drop && d == ToTarget {
+		l.droppedChunks++
 	}
 	return drop, l.fault == Delayed && !drop
 }
 
-// lostBytes reports whether a fault dropped bytes of a connection. An end that followed them
-// would make what came before look whole.
-func (l *Link) lostBytes(p *pair) bool {
+// hasDroppedData reports whether a fault dropped data of a connection. An orderly end after it
+// would make the data so far look complete.
+func (l *Link) hasDroppedData(p *proxiedConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return p.lost
+	return p.droppedData
 }
 
-func (l *Link) isSilent(p *pair, w Direction) bool {
+func (l *Link) isSilent(p *proxiedConn, d Direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return p.silent.covers(w)
+	return p.silent.includes(d)
 }
 
-// end takes the end of what is sent one way.
-func (l *Link) end(p *pair, w Direction, to *net.TCPConn) {
+// end records the end of a direction and passes it on unless the direction is silent.
+func (l *Link) end(p *proxiedConn, d Direction, to *net.TCPConn) {
 	l.mu.Lock()
-	p.ended[w] = true
-	silent, both := p.silent.covers(w), p.ended[ToTarget] && p.ended[FromTarget]
+	p.ended[d] = true
+	silent, both := p.silent.includes(d), p.ended[ToTarget] && p.ended[FromTarget]
 	if both {
 		delete(l.open, p)
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -12,13 +12,13 @@
 	"github.com/weldfall/weldfall/internal/proxy"
 )
 
-// echo answers each connection with what came, until the test is over.
-func echo(t *testing.T) string {
+// startEcho starts a server that echoes, until the end of the test, and returns its address.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	return serve(t, func(c net.Conn) { _, _ = io.Copy(c, c); _ = c.Close() })
 }
 
-// serve has f serve each connection, until the test is over, and returns the address.
+// serve runs f for each connection, until the end of the test, and returns the address.
 func serve(t *testing.T, f func(c net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,19 +38,18 @@
 	return ln.Addr().String()
 }
 
-// checkSound fails the test unless a byte comes back.
-func checkSound(t *testing.T, c net.Conn) {
+// checkEcho fails the test unless a byte comes back.
+func checkEcho(t *testing.T, c net.Conn) {
 	t.Helper()
 	_, _ = c.Write([]byte("x"))
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err != nil {
-		t.Errorf("got %v on a sound connection, want a byte back", err)
+		t.Errorf("got %v, want a byte echoed", err)
 	}
 }
 
-// echoed reports whether a byte comes back within a while, and whether the
-// connection was seen to end.
-func echoed(c net.Conn) (back, ended bool) {
+// probe reports whether a byte is echoed within 200 ms, and whether the connection has ended.
+func probe(c net.Conn) (echoed, ended bool) {
 	_, _ = c.Write([]byte("x"))
 	_ = c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	_, err := c.Read(make([]byte, 1))
@@ -59,10 +58,10 @@
 }
 
 func TestSilentConnectionsStaySilentAndNewOnesWork(t *testing.T) {
-	for _, way := range []proxy.Direction{proxy.Both, proxy.ToTarget, proxy.FromTarget} {
-		t.Run(string(way), func(t *testing.T) {
+	for _, dir := range []proxy.Direction{proxy.Both, proxy.ToTarget, proxy.FromTarget} {
+		t.Run(string(dir), func(t *testing.T) {
 			t.Parallel()
-			l, err := proxy.New(echo(t))
+			l, err := proxy.New(startEcho(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -73,38 +72,38 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { _ = c.Close() })
-				checkSound(t, c)
+				checkEcho(t, c)
 				return c
 			}
 			silent := dial()
-			l.Silence(way, 1)
+			l.Silence(dir, 1)
 			for range 2 {
-				if back, ended := echoed(silent); back || ended {
-					t.Errorf("got back %v, ended %v on a silent connection, want neither", back, ended)
+				if echoed, ended := probe(silent); echoed || ended {
+					t.Errorf("got echoed %v, ended %v on a silent connection, want neither", echoed, ended)
 				}
 			}
-			sound := dial()
-			checkSound(t, sound)
-			_ = sound.Close()
+			later := dial()
+			checkEcho(t, later)
+			_ = later.Close()
 			_ = silent.Close()
-			left := 0
-			if way != proxy.FromTarget {
-				// The end that was dialled does not hear of the close.
-				left = 1
+			wantOpen := 0
+			if dir != proxy.FromTarget {
+				// The close is not passed on to the target.
+				wantOpen = 1
 			}
-			for end := time.Now().Add(2 * time.Second); l.OpenConns() != left; time.Sleep(10 * time.Millisecond) {
+			for end := time.Now().Add(2 * time.Second); l.OpenConns() != wantOpen; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("got %d connections open at the link, want %d", l.OpenConns(), left)
+					t.Fatalf("got %d connections open at the link, want %d", l.OpenConns(), wantOpen)
 				}
 			}
 		})
 	}
 }
 
-// newLink returns a link to an echo, and a connection through it that works.
+// newLink returns a link to an echo server, and a connection through it that works.
 func newLink(t *testing.T) (*proxy.Link, net.Conn) {
 	t.Helper()
-	l, err := proxy.New(echo(t))
+	l, err := proxy.New(startEcho(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,46 +113,46 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	checkSound(t, c)
+	checkEcho(t, c)
 	return l, c
 }
 
-// What a fault drops is lost, and the connection ends with the fault: a link that
-// carried the rest would make another stream of it.
-func TestAFaultEndsTheConnectionsThatLostBytes(t *testing.T) {
+// A connection whose data was dropped is reset when the fault changes. Otherwise the
+// receiver gets a stream with a gap.
+func TestSetFaultResetsConnectionsWithDroppedData(t *testing.T) {
 	for _, f := range []proxy.Fault{proxy.Cut, proxy.DropToTarget, proxy.DropFromTarget} {
 		for _, next := range []proxy.Fault{proxy.NoFault, proxy.Delayed, proxy.Resets} {
 			t.Run(string(f+" "+next), func(t *testing.T) {
 				t.Parallel()
 				l, c := newLink(t)
 				l.SetFault(f)
-				if back, ended := echoed(c); back || ended {
-					t.Errorf("got back %v, ended %v, want neither", back, ended)
+				if echoed, ended := probe(c); echoed || ended {
+					t.Errorf("got echoed %v, ended %v, want neither", echoed, ended)
 				}
 				l.SetFault(next)
 				_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 				if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("got %v after bytes were lost, want the end", err)
+					t.Errorf("got %v after data was dropped, want the connection reset", err)
 				}
 			})
 		}
 	}
 }
 
-func TestAFaultThatDropsNothingKeepsConnections(t *testing.T) {
+func TestFaultWithoutDroppedDataKeepsConnections(t *testing.T) {
 	l, c := newLink(t)
 	l.SetFault(proxy.Cut)
 	l.SetFault(proxy.NoFault)
-	checkSound(t, c)
+	checkEcho(t, c)
 }
 
-func TestAResetEndsOpenConnectionsAndNewOnes(t *testing.T) {
+func TestResetsEndOpenAndNewConnections(t *testing.T) {
 	l, c := newLink(t)
 	l.SetFault(proxy.Resets)
-	if _, ended := echoed(c); !ended {
-		t.Error("got an open connection, want its end")
+	if _, ended := probe(c); !ended {
+		t.Error("got an open connection, want it reset")
 	}
-	// The reset may overtake the dial's return.
+	// The reset may arrive before Dial returns.
 	again, err := net.Dial("tcp", l.Addr())
 	if err == nil {
 		defer func() { _ = again.Close() }()
@@ -161,12 +160,12 @@
 		_, err = again.Read(make([]byte, 1))
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("got %v of a new connection, want a reset", err)
+		t.Errorf("got %v on a new connection, want a reset", err)
 	}
 }
 
-// An end that closes its sending side still hears the rest.
-func TestWhatComesBackAfterAnEndIsCarried(t *testing.T) {
+// An end that has closed its sending side still receives the rest.
+func TestDataAfterHalfCloseIsForwarded(t *testing.T) {
 	_, c := newLink(t)
 	if _, err := c.Write(make([]byte, 100_000)); err != nil {
 		t.Fatal(err)
@@ -180,14 +179,14 @@
 	}
 }
 
-// What waits for an answer that ends with its connection takes a reset for a failure and
-// an orderly end for the end of the answer.
-func TestAResetIsPassedOnAsOne(t *testing.T) {
+// A client whose response ends with its connection takes a reset for a failure and an orderly
+// end for the end of the response, so a reset must be passed on as a reset.
+func TestResetIsPassedOn(t *testing.T) {
 	l, err := proxy.New(serve(t, func(c net.Conn) {
-		way := make([]byte, 1)
-		_, _ = io.ReadFull(c, way)
+		command := make([]byte, 1)
+		_, _ = io.ReadFull(c, command)
 		_, _ = c.Write([]byte("part"))
-		switch way[0] {
+		switch command[0] {
 		case 'r':
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
@@ -200,14 +199,14 @@
 	}
 	t.Cleanup(l.Close)
 	for name, tc := range map[string]struct {
-		way string
-		end func()
-		// whole is true if what came is all.
-		whole bool
+		command string
+		end     func()
+		// complete is true if the client must take the response for complete.
+		complete bool
 	}{
-		"closed by the far end": {way: "e", whole: true},
-		"reset by the far end":  {way: "r"},
-		"reset by the link":     {way: "w", end: func() { l.SetFault(proxy.Resets) }},
+		"closed by the target": {command: "e", complete: true},
+		"reset by the target":  {command: "r"},
+		"reset by the link":    {command: "w", end: func() { l.SetFault(proxy.Resets) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l.SetFault(proxy.NoFault)
@@ -217,20 +216,21 @@
 			}
 			t.Cleanup(func() { _ = c.Close() })
 			_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-			_, _ = c.Write([]byte(tc.way))
+			_, _ = c.Write([]byte(tc.command))
 			if tc.end != nil {
 				_, _ = io.ReadFull(c, make([]byte, 4))
 				tc.end()
 			}
-			if _, err := io.ReadAll(c); (err == nil) != tc.whole {
-				t.Errorf("got the end %v, want an orderly one: %v", err, tc.whole)
+			if _, err := io.ReadAll(c); (err == nil) != tc.complete {
+				t.Errorf("got error %v, want an orderly end: %v", err, tc.complete)
 			}
 		})
 	}
 }
 
-// A link that lost bytes told the end after them on, so that what came before looked whole.
-func TestAnEndAfterLostBytesIsPassedOnAsAReset(t *testing.T) {
+// A link that had dropped data used to pass on an orderly end, so that the data before the gap
+// looked complete.
+func TestEndAfterDroppedDataIsPassedOnAsReset(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -241,28 +241,28 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	near, err := net.Dial("tcp", l.Addr())
+	client, err := net.Dial("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = near.Close() }()
-	far, err := ln.Accept()
+	defer func() { _ = client.Close() }()
+	target, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(far, "kept"); err != nil {
+	if _, err := io.WriteString(target, "kept"); err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, 4)
-	if _, err := io.ReadFull(near, got); err != nil {
+	if _, err := io.ReadFull(client, got); err != nil {
 		t.Fatal(err)
 	}
 	l.SetFault(proxy.DropFromTarget)
-	if _, err := io.WriteString(far, "lost"); err != nil {
+	if _, err := io.WriteString(target, "lost"); err != nil {
 		t.Fatal(err)
 	}
-	_ = far.Close()
-	if n, err := near.Read(got); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
+	_ = target.Close()
+	if n, err := client.Read(got); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("got %d bytes and %v, want a reset", n, err)
 	}
 }
