--- a/daemon/engine.go
+++ b/daemon/engine.go
@@ -153,6 +153,7 @@
 	}, e.clk.Now())
 }
 
+// removeQueued removes a request that no longer waits. The caller holds mu.
 func (e *engine) removeQueued(id uint64) {
 	delete(e.queued, id)
 	delete(e.slots, id)
@@ -226,7 +227,7 @@
 		}
 		e.mu.Lock()
 		e.queue.PruneIdle(e.clk.Now())
-		// The reserve may no longer be needed.
+		// Slots of the reserve may have become available to waiting requests.
 		e.dispatch()
 		e.mu.Unlock()
 	}
@@ -257,8 +258,8 @@
 // caches prefixes, too.
 const lostCacheRatio = 0.5
 
-// applyCacheEvents updates the cache index by the engine's events. tokens is the reported
-// total of cached tokens.
+// applyCacheEvents applies the engine's events to the cache index, or clears the index if
+// the engine has restarted. tokens is the reported total of cached tokens.
 func (e *engine) applyCacheEvents(events []target.CacheEvent, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/daemon/fair/queue.go
+++ b/daemon/fair/queue.go
@@ -139,7 +139,8 @@
 	return it, true
 }
 
-// activeShares returns the sum of the shares of the active partners.
+// activeShares returns the sum of the shares of the active partners: those with waiting or
+// running items, and those whose last item was pushed within ActiveWindow.
 func (q *Queue) activeShares(now clock.Millis) float64 {
 	total := 0.0
 	for _, c := range q.root.children {
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// maxResumes limits the attempts to resume a response after the connection broke.
+	// maxResumes limits the tries to resume a response after the connection broke.
 	maxResumes = 5
-	// resumeBackoff is the base of the exponential delay between these attempts.
+	// resumeBackoff is the base of the exponential delay between these tries.
 	resumeBackoff clock.Millis = 50
 	// maxPlainResponse limits a plain chat response, in bytes.
 	maxPlainResponse = 32 << 20
@@ -87,6 +87,7 @@
 // relayedHeaders are the response headers that are passed to the caller.
 var relayedHeaders = []string{"Content-Type", "Content-Encoding", "Content-Language", "Location", "Etag", "Last-Modified", "Cache-Control"}
 
+// newHead returns the head of a response with the relayed headers and the current loads.
 func (e *engine) newHead(res *http.Response) *wire.Head {
 	h := map[string]string{}
 	for _, name := range relayedHeaders {
--- a/daemon/target/target_test.go
+++ b/daemon/target/target_test.go
@@ -19,8 +19,8 @@
 
 // Guards against a missed crash of an engine. A request that crashes engines is detected by
 // their exits. The daemon, on the same machine, saw the broken connection while the exiting
-// process still listened, considered it alive, and the request was sent to the next engine
-// without a strike.
+// process still listened and considered it alive. The request was sent to the next engine
+// as if it had crashed none.
 func TestExited(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for name, tc := range map[string]struct {
--- a/route/cacheindex.go
+++ b/route/cacheindex.go
@@ -59,6 +59,7 @@
 	c.trim()
 }
 
+// trim evicts the least recently used chats until the rest fit the capacity.
 func (c *CacheIndex) trim() {
 	for c.tokens > c.capacity && c.chats.Len() > 1 {
 		c.chats.RemoveOldest()
--- a/route/choose.go
+++ b/route/choose.go
@@ -29,7 +29,7 @@
 	Named bool
 	// Hint is the engine that served the chat last, or "" if it is unknown.
 	Hint string
-	// Bound and Floor are the pool's settings.
+	// Bound and Floor are the pool's settings for Limit.
 	Bound float64
 	Floor int
 	// MaxTries limits the attempts.
--- a/route/load.go
+++ b/route/load.go
@@ -80,6 +80,7 @@
 	l.reports[engine] = r
 }
 
+// decrement removes one request from unreported, or else from reported.
 func decrement(unreported, reported *int) {
 	if *unreported > 0 {
 		*unreported--
