--- a/daemon/fair/queue.go
+++ b/daemon/fair/queue.go
@@ -284,13 +284,13 @@
 // longest returns the waiting child with the highest waiting cost in proportion to its
 // share.
 func (f *flow) longest() *flow {
-	var longest *flow
+	var top *flow
 	for _, c := range f.active {
-		if longest == nil || float64(c.waiting)/c.share > float64(longest.waiting)/longest.share {
-			longest = c
+		if top == nil || float64(c.waiting)/c.share > float64(top.waiting)/top.share {
+			top = c
 		}
 	}
-	return longest
+	return top
 }
 
 // prune removes the idle children for which removable returns true. While nothing waits,
