--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -28,8 +28,8 @@
 // MainEnv makes a test binary act as the weldfall binary.
 const MainEnv = "WELDFALL_TEST_MAIN"
 
-// Main is called by TestMain: it runs the command line in a process that
-// Start has started, and the tests otherwise.
+// Main is for TestMain. It runs the command line in the processes that Start starts, and the
+// tests otherwise.
 func Main(m *testing.M) {
 	if os.Getenv(MainEnv) != "" {
 		clocktest.SimulateSuspensions()
@@ -40,42 +40,40 @@
 
 func pause(d clock.Millis) { clock.Sleep(context.Background(), d) }
 
-// Spec says what a fleet consists of. Partner "planning" has the workspaces
-// ws0 and ws1, "vigia" has ws0.
+// Spec is the configuration of a fleet. The partners "planning" and "vigia" have the
+// workspaces ws0 and ws1.
 type Spec struct {
 	Engines, Services, Entries int
-	// EngineArgs and ServiceArgs are further arguments of the stand-ins.
+	// EngineArgs, ServiceArgs and PlatformArgs are additional arguments of the stand-ins.
 	EngineArgs, ServiceArgs []string
-	// PlatformArgs are further arguments of the platform stand-in.
-	PlatformArgs []string
-	// Direct leaves the proxies out, for measurements of cost.
+	PlatformArgs            []string
+	// Direct omits the proxies, for measurements of cost.
 	Direct bool
-	// Fleet is the text of the fleet's branch, after models.
+	// Fleet is TOML that is appended to the fleet's config.
 	Fleet string
 }
 
-// Process is one started process.
+// Process is a process of the fleet.
 type Process struct {
 	Name string
-	// Addr is where a stand-in listens, or where peers reach a process of the
-	// system, through the proxy.
+	// Addr is the address of a stand-in, or the proxied peer address of any other process.
 	Addr string
-	// AdminAddr has the pages; CallerAddr is where an entry's callers come in.
+	// AdminAddr serves the admin pages. CallerAddr is for callers and set for entries only.
 	AdminAddr, CallerAddr string
 
 	t    testing.TB
 	cmd  *exec.Cmd
 	log  logFile
 	done chan struct{}
-	in   member.Instance
+	inst member.Instance
 }
 
-// Fleet is the processes of one test.
+// Fleet has the processes of one test.
 type Fleet struct {
 	Net      *Network
 	Platform *Process
-	// Engines and Services are stand-ins; EngineDaemons and ServiceDaemons
-	// the processes beside them, in the same order.
+	// Engines and Services are stand-ins. EngineDaemons and ServiceDaemons are their
+	// daemons, in the same order.
 	Engines, Services             []*Process
 	EngineDaemons, ServiceDaemons []*Process
 	Entries                       []*Process
@@ -86,8 +84,8 @@
 	clk  *clock.Clock
 }
 
-// logFile is what a process has written. The process writes to the file itself: through a pipe
-// a line might come here after the answer that it was written before.
+// logFile is the output of a process. The process writes to the file itself: through a pipe,
+// a line could arrive after a response that was sent later.
 type logFile struct {
 	t    testing.TB
 	path string
@@ -101,10 +99,10 @@
 	return string(b)
 }
 
-// Halls are the data halls that processes are spread over.
+// Halls are the data halls of the processes, assigned round robin.
 var Halls = []string{"hall-a", "hall-b", "hall-c"}
 
-// Start starts a fleet and waits until all of it is ready.
+// Start starts a fleet and waits until all processes are ready.
 func Start(t testing.TB, spec Spec) *Fleet {
 	t.Helper()
 	f := &Fleet{t: t, Net: newNetwork(), dir: t.TempDir(), spec: spec, clk: clock.System()}
@@ -138,19 +136,19 @@
 // Key returns the bearer key of a workspace.
 func Key(partner, workspace string) string { return partner + "." + workspace + ".secret" }
 
-// StartEngine starts the stand-in of engine i.
+// StartEngine starts the stand-in of engine i at a new address.
 func (f *Fleet) StartEngine(i int) *Process {
 	id := fmt.Sprintf("engine-%d", i)
 	return f.standin(id, append([]string{"standin", "engine", "--id", id}, f.spec.EngineArgs...)...)
 }
 
-// StartEngineAt starts the stand-in of engine i again at an address.
+// StartEngineAt starts the stand-in of engine i at the given address.
 func (f *Fleet) StartEngineAt(i int, addr string) *Process {
 	id := fmt.Sprintf("engine-%d", i)
 	return f.standin(id, append([]string{"standin", "engine", "--id", id, "--listen", addr}, f.spec.EngineArgs...)...)
 }
 
-// StartServiceAt starts the stand-in of instance i of the service again at an address.
+// StartServiceAt starts the stand-in of instance i of the service at the given address.
 func (f *Fleet) StartServiceAt(i int, addr string) *Process {
 	id := fmt.Sprintf("desk-%d", i)
 	return f.standin(id, append([]string{"standin", "service", "--id", id, "--listen", addr}, f.spec.ServiceArgs...)...)
@@ -181,7 +179,7 @@
 	if err := p.cmd.Start(); err != nil {
 		f.t.Fatal(err)
 	}
-	f.Net.set(func() { f.Net.pids[p.cmd.Process.Pid] = name })
+	f.Net.locked(func() { f.Net.pids[p.cmd.Process.Pid] = name })
 	go func() {
 		defer close(p.done)
 		_ = p.cmd.Wait()
@@ -197,13 +195,13 @@
 
 func tail(s string, n int) string { return s[max(0, len(s)-n):] }
 
-// StartDaemon starts the daemon beside a target and lists it.
+// StartDaemon starts the daemon of a target and lists it on the platform.
 func (f *Fleet) StartDaemon(target *Process, pool string, i int) *Process {
 	name := target.Name + "-daemon"
-	engineAddr := f.front(target.Name, target.Addr)
+	engineAddr := f.proxyAddr(target.Name, target.Addr)
 	toml := fmt.Sprintf("pool = %q\n[[engines]]\nid = %q\naddr = %q\nslots = 16\n", pool, target.Name, engineAddr)
 	p := f.startProcess("daemon", name, Halls[i%len(Halls)], toml)
-	p.in = member.Instance{
+	p.inst = member.Instance{
 		ID: name, Role: member.Daemon, Addr: p.Addr, Hall: Halls[i%len(Halls)], Pool: pool,
 		Engines: []member.EngineInfo{{ID: target.Name, Slots: 16}}, State: member.Live,
 	}
@@ -211,20 +209,20 @@
 	return p
 }
 
-// StartEntry starts entry i and lists it.
+// StartEntry starts entry i and lists it on the platform.
 func (f *Fleet) StartEntry(i int) *Process {
 	name := fmt.Sprintf("entry-%d", i)
 	p := f.startProcess("entry", name, Halls[i%len(Halls)], "listen = \"127.0.0.1:0\"\n")
-	p.in = member.Instance{ID: name, Role: member.Entry, Addr: p.Addr, Hall: Halls[i%len(Halls)], State: member.Live}
+	p.inst = member.Instance{ID: name, Role: member.Entry, Addr: p.Addr, Hall: Halls[i%len(Halls)], State: member.Live}
 	f.ListInstance(p, member.Live)
 	return p
 }
 
-// StartEntryWithoutPeers starts entry i without any peers to ask.
+// StartEntryWithoutPeers starts entry i with an empty bootstrap list.
 func (f *Fleet) StartEntryWithoutPeers(i int) *Process {
-	alone := *f
-	alone.EngineDaemons, alone.ServiceDaemons, alone.Entries = nil, nil, nil
-	return alone.StartEntry(i)
+	g := *f
+	g.EngineDaemons, g.ServiceDaemons, g.Entries = nil, nil, nil
+	return g.StartEntry(i)
 }
 
 var startedRE = regexp.MustCompile(`msg=started .*`)
@@ -239,19 +237,19 @@
 	f.Eventually("start of "+name, func() bool { return startedRE.MatchString(p.log.String()) })
 	line := startedRE.FindString(p.log.String())
 	p.AdminAddr, p.CallerAddr = field(line, "admin"), field(line, "listen")
-	p.Addr = f.front(name, field(line, "peers"))
+	p.Addr = f.proxyAddr(name, field(line, "peers"))
 	return p
 }
 
-// front returns the address of a proxy before that of a process.
-func (f *Fleet) front(name, addr string) string {
+// proxyAddr returns the address of a new proxy to addr of a process, or addr if Spec.Direct.
+func (f *Fleet) proxyAddr(name, addr string) string {
 	if f.spec.Direct {
 		return addr
 	}
 	return f.Net.listen(f.t, name, addr)
 }
 
-// bootstrap lists the addresses of the processes that live already.
+// bootstrap returns the addresses of up to three running processes as a TOML list.
 func (f *Fleet) bootstrap() string {
 	var addrs []string
 	for _, p := range f.Processes() {
@@ -271,30 +269,30 @@
 	return ""
 }
 
-// ListInstance puts a process on the platform's list with the given state.
+// ListInstance adds a process to the platform's instance list with the given state.
 func (f *Fleet) ListInstance(p *Process, s member.State) {
-	in := p.in
-	in.State = s
-	value, err := json.Marshal(in)
+	inst := p.inst
+	inst.State = s
+	value, err := json.Marshal(inst)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.admin(http.MethodPut, "/admin/instances/"+p.Name, string(value))
 }
 
-// UnlistInstance takes a process off the platform's list.
+// UnlistInstance removes a process from the platform's instance list.
 func (f *Fleet) UnlistInstance(p *Process) {
 	f.admin(http.MethodDelete, "/admin/instances/"+p.Name, "")
 }
 
-// PutConfig publishes a branch of the settings and returns its revision.
+// PutConfig publishes the config of a path and returns its revision.
 func (f *Fleet) PutConfig(path, text string) int64 {
 	var rev int64
 	_, _ = fmt.Sscan(f.admin(http.MethodPut, "/admin/config/"+path, text), &rev)
 	return rev
 }
 
-// PlatformValue returns the value that the platform has of a key.
+// PlatformValue returns the platform's value of a key, "" if there is none.
 func (f *Fleet) PlatformValue(topic, key string) string {
 	var b struct {
 		Items []struct{ Key, Value string } `json:"items"`
@@ -310,10 +308,10 @@
 	return ""
 }
 
-// SetPlatformMode switches a fault of the platform on or, with "ok", off.
+// SetPlatformMode switches the platform to a fault, or with "ok" back to normal.
 func (f *Fleet) SetPlatformMode(mode string) { f.admin(http.MethodPost, "/admin/mode?mode="+mode, "") }
 
-// PlatformCalls returns the reads that the platform has counted.
+// PlatformCalls returns the number of reads of the platform so far.
 func (f *Fleet) PlatformCalls() int {
 	n := 0
 	_, _ = fmt.Sscan(f.admin(http.MethodGet, "/admin/calls", ""), &n)
@@ -338,21 +336,21 @@
 	return string(b)
 }
 
-// patience bounds every wait of a test; only a failing test uses it up.
-const patience clock.Millis = 40_000
+// eventuallyTimeout limits each wait of a test. Only a failing test reaches it.
+const eventuallyTimeout clock.Millis = 40_000
 
-// Eventually waits until ok holds, or fails the test.
+// Eventually waits until ok returns true. It fails the test after 40 s.
 func (f *Fleet) Eventually(what string, ok func() bool) {
 	f.t.Helper()
-	for end := f.clk.Now() + patience; f.clk.Now() < end; pause(10) {
+	for end := f.clk.Now() + eventuallyTimeout; f.clk.Now() < end; pause(10) {
 		if ok() {
 			return
 		}
 	}
-	f.t.Fatalf("%s: got no result in %d ms", what, patience)
+	f.t.Fatalf("%s: got no result in %d ms", what, eventuallyTimeout)
 }
 
-// Processes lists all processes of the system.
+// Processes returns all daemons and entries.
 func (f *Fleet) Processes() []*Process {
 	var all []*Process
 	all = append(all, f.EngineDaemons...)
@@ -360,19 +358,18 @@
 	return append(all, f.Entries...)
 }
 
-// WaitReady waits until every process is ready and every entry sees every
-// daemon.
+// WaitReady waits until every process is ready and knows the engines of every daemon.
 func (f *Fleet) WaitReady() {
 	f.t.Helper()
 	want := len(f.EngineDaemons) + len(f.ServiceDaemons)
 	for _, p := range f.Processes() {
 		f.Eventually(p.Name+" ready", func() bool {
-			return p.Ready() && p.sees() >= want
+			return p.Ready() && p.engineCount() >= want
 		})
 	}
 }
 
-func (p *Process) sees() int {
+func (p *Process) engineCount() int {
 	var engines []struct{}
 	if json.Unmarshal([]byte(p.Page("/engines")), &engines) != nil {
 		return 0
@@ -380,7 +377,7 @@
 	return len(engines)
 }
 
-// Ready reports whether the process says that it is ready.
+// Ready reports whether the readiness check of the process succeeds.
 func (p *Process) Ready() bool {
 	res, err := http.Get("http://" + p.AdminAddr + "/readyz")
 	if err != nil {
@@ -390,7 +387,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Page returns one of the process's pages, "" if it cannot be had.
+// Page returns an admin page of the process, "" if the request fails.
 func (p *Process) Page(path string) string {
 	res, err := http.Get("http://" + p.AdminAddr + path)
 	if err != nil {
@@ -401,8 +398,7 @@
 	return string(b)
 }
 
-// MetricSum adds up the series of the process's metrics whose name begins with
-// prefix.
+// MetricSum returns the sum of the metrics whose name starts with prefix.
 func (p *Process) MetricSum(prefix string) float64 {
 	total := 0.0
 	for line := range strings.SplitSeq(p.Page("/metrics"), "\n") {
@@ -416,7 +412,7 @@
 	return total
 }
 
-// EffectiveSetting returns the effective value of a key as the process has it.
+// EffectiveSetting returns the effective value of a setting in the process, nil if unknown.
 func (p *Process) EffectiveSetting(path, key string) any {
 	var page struct {
 		Settings []settings.Source `json:"settings"`
@@ -427,8 +423,8 @@
 	return page.Settings[0].Value
 }
 
-// StartedRuns returns what a stand-in has really run, also when it has been
-// killed: the stand-ins write their runs to the log as they start.
+// StartedRuns returns the requests that a stand-in has started, even if it was killed later:
+// stand-ins log each request at its start.
 func (f *Fleet) StartedRuns(p *Process) []engine.Run {
 	f.t.Helper()
 	var runs []engine.Run
@@ -440,11 +436,10 @@
 	return runs
 }
 
-// ticksPerSecond is the kernel's unit of processor time in /proc.
+// ticksPerSecond is the unit of processor time in /proc.
 const ticksPerSecond = 100
 
-// CPUMicros returns the processor time that the process has used, in
-// microseconds.
+// CPUMicros returns the processor time of the process in microseconds.
 func (p *Process) CPUMicros() float64 {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -469,28 +464,28 @@
 	return resident * float64(os.Getpagesize())
 }
 
-// Log returns what the process has logged.
+// Log returns the output of the process.
 func (p *Process) Log() string { return p.log.String() }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Freeze stops the process until Thaw.
+// Freeze suspends the process until Thaw.
 func (p *Process) Freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (p *Process) Thaw() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to stop.
+// Terminate sends SIGTERM.
 func (p *Process) Terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Exited reports whether the process has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
--- a/internal/fleettest/proxy.go
+++ b/internal/fleettest/proxy.go
@@ -13,41 +13,39 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Network is the links between the processes of a test: one proxy before each
-// listener. It tells connections apart by the process that dialed, so that
-// the link between two processes can be cut in one direction or both.
+// Network has a proxy in front of each listener of a test. It determines which process dialed
+// a connection, so that tests can cut the link between two processes in one direction or both.
 type Network struct {
 	mu sync.Mutex
-	// pids maps process ids to the names of processes.
+	// pids maps process IDs to names.
 	pids map[int]string
-	// cuts has the links whose bytes are dropped, by "from>to".
-	cuts map[string]bool
-	// delays has the links whose bytes come later.
+	// cuts and delays have the links with a fault, by "from>to".
+	cuts   map[string]bool
 	delays map[string]clock.Millis
-	conns  map[*proxied]bool
+	conns  map[*proxiedConn]bool
 	closed bool
 }
 
-// proxied is one connection through a proxy.
-type proxied struct {
-	src, dst string
-	a, b     net.Conn
-	// dirty is true once bytes of it were dropped.
-	dirty bool
+// proxiedConn is a connection through a proxy.
+type proxiedConn struct {
+	src, dst       string
+	client, server net.Conn
+	// droppedData is guarded by Network.mu.
+	droppedData bool
 }
 
 func newNetwork() *Network {
-	return &Network{pids: map[int]string{}, cuts: map[string]bool{}, delays: map[string]clock.Millis{}, conns: map[*proxied]bool{}}
+	return &Network{pids: map[int]string{}, cuts: map[string]bool{}, delays: map[string]clock.Millis{}, conns: map[*proxiedConn]bool{}}
 }
 
-// Any stands for every process in Cut and Delay.
+// Any matches every process in Cut, Delay and Reset.
 const Any = "*"
 
-// Cut drops what goes from one process to another until Heal. Connections
-// stay open and silent, as when a link is lost.
-func (n *Network) Cut(from, to string) { n.set(func() { n.cuts[from+">"+to] = true }) }
+// Cut drops the data from one process to another until Heal. Connections stay open and
+// silent, as when a link fails.
+func (n *Network) Cut(from, to string) { n.locked(func() { n.cuts[from+">"+to] = true }) }
 
-// CutBoth drops both directions.
+// CutBoth cuts both directions.
 func (n *Network) CutBoth(a, b string) {
 	n.Cut(a, b)
 	n.Cut(b, a)
@@ -62,53 +60,54 @@
 	}
 }
 
-// Delay makes what goes from one process to another late.
+// Delay delays the data from one process to another.
 func (n *Network) Delay(from, to string, d clock.Millis) {
-	n.set(func() { n.delays[from+">"+to] = d })
+	n.locked(func() { n.delays[from+">"+to] = d })
 }
 
-// Reset closes the connections between two processes, whoever dialed; new
-// ones can be made.
+// Reset closes the connections between two processes, whichever side dialed. New connections
+// work.
 func (n *Network) Reset(a, b string) {
-	n.closeIf(func(p *proxied) bool {
+	n.closeIf(func(p *proxiedConn) bool {
 		return match(p.src, a) && match(p.dst, b) || match(p.src, b) && match(p.dst, a)
 	})
 }
 
 func match(name, pattern string) bool { return pattern == Any || name == pattern }
 
-// Heal ends all cuts and delays. Connections that lost bytes are closed.
+// Heal ends all cuts and delays, and closes the connections with dropped data.
 func (n *Network) Heal() {
-	n.set(func() {
+	n.locked(func() {
 		clear(n.cuts)
 		clear(n.delays)
 	})
-	n.closeIf(func(p *proxied) bool { return p.dirty })
+	n.closeIf(func(p *proxiedConn) bool { return p.droppedData })
 }
 
-func (n *Network) set(f func()) {
+func (n *Network) locked(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
 }
 
-func (n *Network) closeIf(f func(*proxied) bool) {
+func (n *Network) closeIf(f func(*proxiedConn) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for p := range n.conns {
 		if f(p) {
-			_ = p.a.Close()
-			_ = p.b.Close()
+			_ = p.client.Close()
+			_ = p.server.Close()
 		}
 	}
 }
 
 func (n *Network) close() {
-	n.set(func() { n.closed = true })
-	n.closeIf(func(*proxied) bool { return true })
+	n.locked(func() { n.closed = true })
+	n.closeIf(func(*proxiedConn) bool { return true })
 }
 
-func (n *Network) rule(from, to string) (cut bool, delay clock.Millis) {
+// faults returns the faults of a link. The caller holds n.mu.
+func (n *Network) faults(from, to string) (cut bool, delay clock.Millis) {
 	for _, k := range []string{from + ">" + to, Any + ">" + to, from + ">" + Any} {
 		cut = cut || n.cuts[k]
 		delay = max(delay, n.delays[k])
@@ -116,7 +115,7 @@
 	return cut, delay
 }
 
-// listen returns the address of a proxy before the listener of dst.
+// listen starts a proxy to the target address of process dst and returns its address.
 func (n *Network) listen(t testing.TB, dst, target string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -137,13 +136,13 @@
 }
 
 func (n *Network) handle(c net.Conn, dst, target string) {
-	src := n.dialer(c.RemoteAddr().(*net.TCPAddr).Port)
+	src := n.processOfPort(c.RemoteAddr().(*net.TCPAddr).Port)
 	up, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	p := &proxied{src: src, dst: dst, a: c, b: up}
+	p := &proxiedConn{src: src, dst: dst, client: c, server: up}
 	n.mu.Lock()
 	n.conns[p] = true
 	closed := n.closed
@@ -153,15 +152,15 @@
 		_ = up.Close()
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { n.pump(p, c, up, src, dst) })
-	wg.Go(func() { n.pump(p, up, c, dst, src) })
+	wg.Go(func() { n.forward(p, c, up, src, dst) })
+	wg.Go(func() { n.forward(p, up, c, dst, src) })
 	wg.Wait()
 	n.mu.Lock()
 	delete(n.conns, p)
 	n.mu.Unlock()
 }
 
-func (n *Network) pump(p *proxied, from, to net.Conn, src, dst string) {
+func (n *Network) forward(p *proxiedConn, from, to net.Conn, src, dst string) {
 	defer func() {
 		_ = from.Close()
 		_ = to.Close()
@@ -171,8 +170,8 @@
 		k, err := from.Read(buf)
 		if k > 0 {
 			n.mu.Lock()
-			cut, delay := n.rule(src, dst)
-			p.dirty = p.dirty || cut
+			cut, delay := n.faults(src, dst)
+			p.droppedData = p.droppedData || cut
 			n.mu.Unlock()
 			if delay > 0 {
 				pause(delay)
@@ -189,9 +188,10 @@
 	}
 }
 
-// dialer finds the process that has the local port, by the kernel's tables.
-func (n *Network) dialer(port int) string {
-	inode := inodeOf(port)
+// processOfPort returns the name of the process that owns a local port, as listed in /proc, ""
+// if there is none.
+func (n *Network) processOfPort(port int) string {
+	inode := socketInode(port)
 	if inode == "" {
 		return ""
 	}
@@ -208,7 +208,8 @@
 	return ""
 }
 
-func inodeOf(port int) string {
+// socketInode returns the inode of the socket with a local port, "" if there is none.
+func socketInode(port int) string {
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		return ""
