--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -6,17 +6,19 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// cache holds prompt prefixes by cache key, least recently used first out.
+// cache is an LRU cache of prompt prefixes by cache key.
 type cache struct {
 	capacity, tokens int
-	order            *list.List
-	entries          map[string]*list.Element
-	events           []eventAt
-	seq              int64
-	gap              int
+	// lru has the least recently used prefix first.
+	lru     *list.List
+	entries map[string]*list.Element
+	events  []eventAt
+	seq     int64
+	// dropEveryNth omits every n-th event, 0 omits none.
+	dropEveryNth int
 }
 
-// prefix is a cached chat: the hash and tokens of each message.
+// prefix is a cached chat, with the hash and the token count of each message.
 type prefix struct {
 	key    string
 	hashes []uint64
@@ -30,7 +32,7 @@
 	Kind   string `json:"kind"`
 	Key    string `json:"key"`
 	Tokens int    `json:"tokens"`
-	// AgeMS is how long ago it happened, in milliseconds.
+	// AgeMS is the time since the event in milliseconds.
 	AgeMS clock.Millis `json:"age_ms"`
 }
 
@@ -39,20 +41,20 @@
 	at clock.Millis
 }
 
-// maxEvents bounds the events kept for readers.
+// maxEvents limits the events that are kept.
 const maxEvents = 4096
 
-func newCache(capacity, gap int) *cache {
-	return &cache{capacity: capacity, gap: gap, order: list.New(), entries: map[string]*list.Element{}}
+func newCache(capacity, dropEveryNth int) *cache {
+	return &cache{capacity: capacity, dropEveryNth: dropEveryNth, lru: list.New(), entries: map[string]*list.Element{}}
 }
 
-// hit returns the cached tokens of the longest common prefix.
-func (c *cache) hit(key string, hashes []uint64) int {
+// cachedTokens returns the tokens of the longest common prefix.
+func (c *cache) cachedTokens(key string, hashes []uint64) int {
 	e, ok := c.entries[key]
 	if !ok {
 		return 0
 	}
-	c.order.MoveToBack(e)
+	c.lru.MoveToBack(e)
 	p, n := e.Value.(*prefix), 0
 	for i, h := range hashes {
 		if i >= len(p.hashes) || p.hashes[i] != h {
@@ -66,15 +68,15 @@
 func (c *cache) store(p *prefix, now clock.Millis) {
 	if old, ok := c.entries[p.key]; ok {
 		c.tokens -= old.Value.(*prefix).total
-		c.order.Remove(old)
+		c.lru.Remove(old)
 	}
-	c.entries[p.key] = c.order.PushBack(p)
+	c.entries[p.key] = c.lru.PushBack(p)
 	c.tokens += p.total
 	c.emit("stored", p, now)
-	for c.tokens > c.capacity && c.order.Len() > 0 {
-		front := c.order.Front()
+	for c.tokens > c.capacity && c.lru.Len() > 0 {
+		front := c.lru.Front()
 		victim := front.Value.(*prefix)
-		c.order.Remove(front)
+		c.lru.Remove(front)
 		delete(c.entries, victim.key)
 		c.tokens -= victim.total
 		c.emit("evicted", victim, now)
@@ -83,7 +85,7 @@
 
 func (c *cache) emit(kind string, p *prefix, now clock.Millis) {
 	c.seq++
-	if c.gap > 0 && c.seq%int64(c.gap) == 0 {
+	if c.dropEveryNth > 0 && c.seq%int64(c.dropEveryNth) == 0 {
 		return
 	}
 	c.events = append(c.events, eventAt{Event{Seq: c.seq, Kind: kind, Key: p.key, Tokens: p.total}, now})
@@ -92,7 +94,8 @@
 	}
 }
 
-func (c *cache) since(seq int64, now, lag clock.Millis) []Event {
+// eventsSince returns the events after seq that are at least lag old.
+func (c *cache) eventsSince(seq int64, now, lag clock.Millis) []Event {
 	out := []Event{}
 	for _, e := range c.events {
 		if e.Seq > seq && e.at <= now-lag {
--- a/standin/engine/ending.go
+++ b/standin/engine/ending.go
@@ -2,20 +2,20 @@
 
 import "net/http"
 
-// Ending is how an answer tells where it ends.
+// Ending is how a response ends.
 type Ending string
 
 const (
-	// Framed is by a length or a last chunk.
+	// Framed responses have a length or a last chunk.
 	Framed Ending = "framed"
-	// UntilClose is by the end of the connection alone.
+	// UntilClose responses end with their connection.
 	UntilClose Ending = "until_close"
-	// Truncated is as UntilClose, but the connection is closed in the middle: of an event, if
-	// the answer is a stream, after the first one.
+	// Truncated responses are like UntilClose, but the connection is closed halfway through
+	// the body, or halfway through the second event of a stream.
 	Truncated Ending = "cut_off"
 )
 
-// EndingFor returns how an answer to an attempt ends by a function that may be nil.
+// EndingFor returns the ending that f gives for an attempt, Framed if f is nil.
 func EndingFor(f func(attempt string) Ending, attempt string) Ending {
 	if f == nil {
 		return Framed
@@ -23,15 +23,16 @@
 	return f(attempt)
 }
 
-// SetFraming has an answer whose head is not yet written be framed as it ends.
+// SetFraming prepares the framing of a response. It must be called before the header is written.
 func (e Ending) SetFraming(w http.ResponseWriter) {
 	if e == UntilClose || e == Truncated {
-		// The library sends neither a length nor chunks, and not this header.
+		// With this value net/http sends neither a length nor chunks, and omits the
+		// header.
 		w.Header().Set("Transfer-Encoding", "identity")
 	}
 }
 
-// Truncate returns how much of a body is sent, or of the event in which a stream ends.
+// Truncate returns the part of a body, or of a later event of a stream, that is sent.
 func (e Ending) Truncate(body []byte) []byte {
 	if e == Truncated {
 		return body[:len(body)/2]
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is a small stand-in for a language-model engine. It batches
-// requests into a limited number of slots by priority, caches prompt prefixes
-// in limited memory, resumes and cancels streams, exports and imports its
-// cache, reports load and cache events late, accepts fenced orders, and keeps
-// a count of what really ran.
+// Package engine is a stand-in for a language-model engine. It runs requests in
+// a limited number of slots by priority, caches prompt prefixes in limited
+// memory, resumes and cancels streams, exports and imports its cache, reports
+// load and cache events with a lag, accepts orders with a fencing token, and
+// records each request that it starts.
 package engine
 
 import (
@@ -19,40 +19,38 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Config sets up the stand-in.
+// Config is the configuration of the stand-in.
 type Config struct {
 	ID    string
 	Model string
 	// Slots is the number of requests that run at once.
 	Slots int
-	// CacheTokens is the cache memory in tokens.
+	// CacheTokens is the capacity of the cache.
 	CacheTokens int
-	// PrefillTokensPerMS is the speed at which uncached prompt is read; zero
-	// is at once.
+	// PrefillTokensPerMS is the prefill rate of uncached tokens, zero for no delay.
 	PrefillTokensPerMS int
-	// TokenInterval is the time between tokens; zero is none.
+	// TokenInterval is the time between output tokens.
 	TokenInterval clock.Millis
-	// Tokens is the length of an answer when the request does not limit it.
+	// Tokens is the length of a response whose request has no limit.
 	Tokens int
-	// ReportLag is how old load reports and cache events are.
+	// ReportLag is the age of load reports, and the least age of cache events.
 	ReportLag clock.Millis
-	// DropEveryNthEvent drops every n-th cache event; zero drops none.
+	// DropEveryNthEvent omits every n-th cache event, zero omits none.
 	DropEveryNthEvent int
-	// Started is called for each request that starts, may be nil.
+	// Started is called at the start of each request. It may be nil.
 	Started func(Run)
-	// Ending returns how an answer to an attempt ends, may be nil for Framed.
+	// Ending returns how the response to an attempt ends. Nil stands for Framed.
 	Ending func(attempt string) Ending
 	Clock  *clock.Clock
 }
 
-// Run is what the stand-in knows of one request that started.
+// Run is a request that the stand-in has started.
 type Run struct {
 	Attempt string `json:"attempt"`
 	Key     string `json:"key"`
-	// CallerKey is the caller's own key, if there was one.
+	// CallerKey is the caller's own idempotency key, if any.
 	CallerKey string `json:"caller_key,omitempty"`
-	// SHA256 is the hash of the content that was produced, hex; empty while
-	// the request runs.
+	// SHA256 is the hex hash of the generated content, empty while the request runs.
 	SHA256 string `json:"sha256"`
 	Cached int    `json:"cached"`
 	Tokens int    `json:"tokens"`
@@ -68,14 +66,14 @@
 	cache   *cache
 	streams map[string]*stream
 	running int
-	waiting []*waiter
+	queue   []*queued
 	runs    []*Run
 	loads   []loadAt
 	fence   int64
 	model   string
 }
 
-type waiter struct {
+type queued struct {
 	priority int
 	ready    chan struct{}
 }
@@ -85,7 +83,7 @@
 	load LoadReport
 }
 
-// LoadReport is what GET /load answers.
+// LoadReport is the response to GET /load.
 type LoadReport struct {
 	Running       int `json:"running"`
 	Waiting       int `json:"waiting"`
@@ -96,7 +94,7 @@
 
 var _ http.Handler = (*Engine)(nil)
 
-// New returns an idle engine.
+// New returns an idle engine with an empty cache.
 func New(cfg Config) *Engine {
 	e := &Engine{cfg: cfg, router: mux.NewRouter(), streams: map[string]*stream{}, model: cfg.Model}
 	e.cache = newCache(cfg.CacheTokens, cfg.DropEveryNthEvent)
@@ -115,7 +113,7 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.router.ServeHTTP(w, r) }
 
-// Runs returns what has started so far, in order.
+// Runs returns the requests started so far, in order.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,24 +124,24 @@
 	return out
 }
 
-// acquire waits for a slot; larger priorities go first.
+// acquire waits for a slot; higher priorities go first. It returns false if ctx ends before.
 func (e *Engine) acquire(ctx context.Context, priority int) bool {
 	e.mu.Lock()
 	if e.running < e.cfg.Slots {
 		e.running++
-		e.noteLoad()
+		e.recordLoad()
 		e.mu.Unlock()
 		return true
 	}
-	w := &waiter{priority: priority, ready: make(chan struct{})}
-	at, _ := slices.BinarySearchFunc(e.waiting, w, func(a, b *waiter) int {
+	w := &queued{priority: priority, ready: make(chan struct{})}
+	at, _ := slices.BinarySearchFunc(e.queue, w, func(a, b *queued) int {
 		if a.priority >= b.priority {
 			return -1
 		}
 		return 1
 	})
-	e.waiting = slices.Insert(e.waiting, at, w)
-	e.noteLoad()
+	e.queue = slices.Insert(e.queue, at, w)
+	e.recordLoad()
 	e.mu.Unlock()
 	select {
 	case <-w.ready:
@@ -151,15 +149,15 @@
 	case <-ctx.Done():
 	}
 	e.mu.Lock()
-	i := slices.Index(e.waiting, w)
+	i := slices.Index(e.queue, w)
 	if i >= 0 {
-		e.waiting = slices.Delete(e.waiting, i, i+1)
-		e.noteLoad()
+		e.queue = slices.Delete(e.queue, i, i+1)
+		e.recordLoad()
 		e.mu.Unlock()
 		return false
 	}
 	e.mu.Unlock()
-	// The slot was given at the same moment.
+	// The slot was assigned concurrently.
 	e.release()
 	return false
 }
@@ -167,20 +165,20 @@
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.waiting) > 0 {
-		w := e.waiting[0]
-		e.waiting = e.waiting[1:]
+	if len(e.queue) > 0 {
+		w := e.queue[0]
+		e.queue = e.queue[1:]
 		close(w.ready)
 	} else {
 		e.running--
 	}
-	e.noteLoad()
+	e.recordLoad()
 }
 
-// noteLoad appends to the history that lagged reports are read from.
-func (e *Engine) noteLoad() {
+// recordLoad appends to the load history, from which laggedLoad reads. The caller holds e.mu.
+func (e *Engine) recordLoad() {
 	now := e.cfg.Clock.Now()
-	e.loads = append(e.loads, loadAt{now, LoadReport{Running: e.running, Waiting: len(e.waiting)}})
+	e.loads = append(e.loads, loadAt{now, LoadReport{Running: e.running, Waiting: len(e.queue)}})
 	i := 0
 	for i+1 < len(e.loads) && e.loads[i+1].at <= now-e.cfg.ReportLag {
 		i++
@@ -192,9 +190,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := LoadReport{}
-	limit := e.cfg.Clock.Now() - e.cfg.ReportLag
+	asOf := e.cfg.Clock.Now() - e.cfg.ReportLag
 	for _, l := range e.loads {
-		if l.at <= limit {
+		if l.at <= asOf {
 			out = l.load
 		}
 	}
@@ -203,14 +201,14 @@
 	return out
 }
 
-// Token returns the i-th token of the answer to a request body. It depends on
-// the whole request, so that a test can tell whose answer it got.
+// Token returns the i-th token of the response to a request body. It depends on the whole
+// body, so that a test can tell which request a response belongs to.
 func Token(request []byte, i int) string {
 	h := xxh3.HashSeed(request, uint64(i))
 	return "t" + hex.EncodeToString([]byte{byte(h), byte(h >> 8), byte(h >> 16)}) + " "
 }
 
-// Content returns the whole content for a request body and a token count.
+// Content returns the complete content for a request body and a token count.
 func Content(request []byte, tokens int) string {
 	var out []byte
 	for i := range tokens {
@@ -219,7 +217,7 @@
 	return string(out)
 }
 
-func hashOf(s string) string {
+func hexSHA256(s string) string {
 	sum := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(sum[:])
 }
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -15,24 +15,24 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Headers of the engine's published protocol.
+// Headers of the engine protocol.
 const (
 	HeaderAttempt  = "X-Attempt"
 	HeaderKey      = "X-Request-Key"
 	HeaderPriority = "X-Priority"
 	HeaderCacheKey = "X-Cache-Key"
-	// HeaderCallerKey is the caller's own key for the request.
+	// HeaderCallerKey has the caller's own idempotency key.
 	HeaderCallerKey = "Idempotency-Key"
 )
 
-// maxBody is the largest request in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes is the maximum size of a request.
+const maxBodyBytes = 16 << 20
 
-// keepStream is how long a finished stream can be resumed.
-const keepStream clock.Millis = 20_000
+// streamRetention is how long a finished stream can be resumed.
+const streamRetention clock.Millis = 20_000
 
-// abandonAfter ends a stream that nobody reads.
-const abandonAfter clock.Millis = 10_000
+// readerTimeout is how long a stream continues without readers.
+const readerTimeout clock.Millis = 10_000
 
 type chatRequest struct {
 	Model    string `json:"model"`
@@ -46,40 +46,42 @@
 	CacheKey            string `json:"prompt_cache_key"`
 }
 
-// stream is the answer to one attempt as far as it is produced.
+// stream is the response to an attempt, as far as it has been generated.
 type stream struct {
 	mu     sync.Mutex
 	events [][]byte
 	done   bool
-	plain  []byte
-	// grown is closed and replaced when events or done change.
-	grown   chan struct{}
+	// body is the response if it is not streamed, nil if it was canceled.
+	body []byte
+	// changed is closed and replaced when events or done change.
+	changed chan struct{}
 	cancel  context.CancelFunc
 	readers int
 	started bool
 }
 
-func (s *stream) add(data []byte) {
+func (s *stream) appendEvent(data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, data)
-	s.wake()
+	s.notify()
 }
 
-func (s *stream) finish(plain []byte) {
+func (s *stream) finish(body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done, s.plain = true, plain
-	s.wake()
+	s.done, s.body = true, body
+	s.notify()
 }
 
-func (s *stream) wake() {
-	close(s.grown)
-	s.grown = make(chan struct{})
+// notify wakes the readers. The caller holds s.mu.
+func (s *stream) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
@@ -94,12 +96,12 @@
 		req.CacheKey = k
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stream{grown: make(chan struct{}), cancel: cancel}
+	s := &stream{changed: make(chan struct{}), cancel: cancel}
 	e.mu.Lock()
-	if _, twice := e.streams[attempt]; twice && attempt != "" {
+	if _, exists := e.streams[attempt]; exists && attempt != "" {
 		e.mu.Unlock()
 		cancel()
-		http.Error(w, "attempt exists", http.StatusConflict)
+		http.Error(w, "an attempt of this ID exists", http.StatusConflict)
 		return
 	}
 	e.streams[attempt] = s
@@ -107,16 +109,16 @@
 	priority, _ := strconv.Atoi(r.Header.Get(HeaderPriority))
 	go e.generate(ctx, s, req, body, attempt, r.Header.Get(HeaderKey), r.Header.Get(HeaderCallerKey), priority)
 	if req.Stream {
-		e.follow(w, r, s, 0, EndingFor(e.cfg.Ending, attempt))
+		e.streamEvents(w, r, s, 0, EndingFor(e.cfg.Ending, attempt))
 		return
 	}
-	e.followPlain(w, r, s, EndingFor(e.cfg.Ending, attempt))
+	e.writeBody(w, r, s, EndingFor(e.cfg.Ending, attempt))
 }
 
 func (e *Engine) generate(ctx context.Context, s *stream, req chatRequest, body []byte, attempt, key, callerKey string, priority int) {
 	defer func() {
 		s.cancel()
-		clock.Sleep(context.Background(), keepStream)
+		clock.Sleep(context.Background(), streamRetention)
 		e.mu.Lock()
 		delete(e.streams, attempt)
 		e.mu.Unlock()
@@ -129,30 +131,30 @@
 	s.mu.Lock()
 	s.started = true
 	s.mu.Unlock()
-	p, prompt := promptOf(req)
+	p, prompt := promptPrefix(req)
 	run := &Run{Attempt: attempt, Key: key, CallerKey: callerKey}
 	if e.cfg.Started != nil {
 		e.cfg.Started(*run)
 	}
 	e.mu.Lock()
-	cached := e.cache.hit(p.key, p.hashes)
+	cached := e.cache.cachedTokens(p.key, p.hashes)
 	run.Cached = cached
 	e.runs = append(e.runs, run)
 	e.mu.Unlock()
 	if e.cfg.PrefillTokensPerMS > 0 {
 		clock.Sleep(ctx, clock.Millis((prompt-cached)/e.cfg.PrefillTokensPerMS))
 	}
-	n := tokensOf(req, e.cfg.Tokens)
-	content, produced := e.produce(ctx, s, req, body, attempt, n)
+	n := outputTokens(req, e.cfg.Tokens)
+	content, generated := e.generateTokens(ctx, s, req, body, attempt, n)
 	e.mu.Lock()
-	run.SHA256, run.Tokens, run.Done = hashOf(content), produced, produced == n
+	run.SHA256, run.Tokens, run.Done = hexSHA256(content), generated, generated == n
 	if run.Done {
-		p.add("assistant", content)
+		p.appendMessage("assistant", content)
 		e.cache.store(p, e.cfg.Clock.Now())
 	}
 	e.mu.Unlock()
 	usage := map[string]any{
-		"prompt_tokens": prompt, "completion_tokens": produced, "total_tokens": prompt + produced,
+		"prompt_tokens": prompt, "completion_tokens": generated, "total_tokens": prompt + generated,
 		"prompt_tokens_details": map[string]any{"cached_tokens": cached},
 	}
 	if !run.Done {
@@ -160,20 +162,22 @@
 		return
 	}
 	if req.Stream {
-		s.add(chunk(attempt, req.Model, nil, "stop", nil))
-		s.add(chunk(attempt, req.Model, nil, "", usage))
-		s.add([]byte("[DONE]"))
+		s.appendEvent(chunk(attempt, req.Model, nil, "stop", nil))
+		s.appendEvent(chunk(attempt, req.Model, nil, "", usage))
+		s.appendEvent([]byte("[DONE]"))
 		s.finish(nil)
 		return
 	}
-	plain, _ := json.Marshal(map[string]any{
+	response, _ := json.Marshal(map[string]any{
 		"id": "chatcmpl-" + attempt, "object": "chat.completion", "created": 0, "model": req.Model, "usage": usage,
 		"choices": []any{map[string]any{"index": 0, "finish_reason": "stop", "message": map[string]any{"role": "assistant", "content": content}}},
 	})
-	s.finish(plain)
+	s.finish(response)
 }
 
-func (e *Engine) produce(ctx context.Context, s *stream, req chatRequest, body []byte, attempt string, n int) (string, int) {
+// generateTokens generates n tokens and returns the content and the number of tokens. It stops
+// early if ctx ends.
+func (e *Engine) generateTokens(ctx context.Context, s *stream, req chatRequest, body []byte, attempt string, n int) (string, int) {
 	var content []byte
 	var ticks <-chan struct{}
 	if e.cfg.TokenInterval > 0 {
@@ -202,13 +206,14 @@
 		token := Token(body, i)
 		content = append(content, token...)
 		if req.Stream {
-			s.add(chunk(attempt, req.Model, &token, "", nil))
+			s.appendEvent(chunk(attempt, req.Model, &token, "", nil))
 		}
 	}
 	return string(content), n
 }
 
-func tokensOf(req chatRequest, fallback int) int {
+// outputTokens returns the length of the response, fallback without a limit in the request.
+func outputTokens(req chatRequest, fallback int) int {
 	if req.MaxCompletionTokens > 0 {
 		return req.MaxCompletionTokens
 	}
@@ -218,20 +223,20 @@
 	return fallback
 }
 
-// promptOf returns the request as a prefix and its tokens, four bytes each.
-func promptOf(req chatRequest) (*prefix, int) {
+// promptPrefix returns the prompt of a request and its token count, at four bytes a token.
+func promptPrefix(req chatRequest) (*prefix, int) {
 	p := &prefix{key: req.CacheKey}
 	for _, m := range req.Messages {
 		var text string
 		if json.Unmarshal(m.Content, &text) != nil {
 			text = string(m.Content)
 		}
-		p.add(m.Role, text)
+		p.appendMessage(m.Role, text)
 	}
 	return p, p.total
 }
 
-func (p *prefix) add(role, text string) {
+func (p *prefix) appendMessage(role, text string) {
 	n := 1 + len(text)/4
 	p.hashes = append(p.hashes, xxh3.HashString(role+"\x00"+text))
 	p.tokens = append(p.tokens, n)
@@ -254,16 +259,17 @@
 	return out
 }
 
-// follow writes the events of a stream from a number on, as they come.
-func (e *Engine) follow(w http.ResponseWriter, r *http.Request, s *stream, from int, ending Ending) {
+// streamEvents writes the events of a stream, starting with event number from, as they are
+// generated.
+func (e *Engine) streamEvents(w http.ResponseWriter, r *http.Request, s *stream, from int, ending Ending) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	ending.SetFraming(w)
-	s.read(+1)
-	defer s.abandon()
+	s.addReaders(+1)
+	defer s.removeReader()
 	rc := http.NewResponseController(w)
 	for {
 		s.mu.Lock()
-		events, done, grown := s.events, s.done, s.grown
+		events, done, changed := s.events, s.done, s.changed
 		s.mu.Unlock()
 		for ; from < len(events); from++ {
 			event := fmt.Appendf(nil, "id: %d\ndata: %s\n\n", from, events[from])
@@ -278,59 +284,62 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-func (e *Engine) followPlain(w http.ResponseWriter, r *http.Request, s *stream, ending Ending) {
-	s.read(+1)
-	defer s.abandon()
+// writeBody writes a response that is not streamed once it is complete.
+func (e *Engine) writeBody(w http.ResponseWriter, r *http.Request, s *stream, ending Ending) {
+	s.addReaders(+1)
+	defer s.removeReader()
 	for {
 		s.mu.Lock()
-		plain, done, grown := s.plain, s.done, s.grown
+		body, done, changed := s.body, s.done, s.changed
 		s.mu.Unlock()
-		if done && plain == nil {
+		if done && body == nil {
 			http.Error(w, "canceled", http.StatusServiceUnavailable)
 			return
 		}
 		if done {
 			w.Header().Set("Content-Type", "application/json")
 			ending.SetFraming(w)
-			_, _ = w.Write(ending.Truncate(plain))
+			_, _ = w.Write(ending.Truncate(body))
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-func (s *stream) read(delta int) int {
+// addReaders changes the number of readers by delta and returns it.
+func (s *stream) addReaders(delta int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers += delta
 	return s.readers
 }
 
-// abandon ends a stream that is left without readers for too long.
-func (s *stream) abandon() {
-	if s.read(-1) > 0 {
+// removeReader cancels the stream if it then has no readers for readerTimeout.
+func (s *stream) removeReader() {
+	if s.addReaders(-1) > 0 {
 		return
 	}
 	go func() {
-		clock.Sleep(context.Background(), abandonAfter)
-		if s.read(0) == 0 {
+		clock.Sleep(context.Background(), readerTimeout)
+		if s.addReaders(0) == 0 {
 			s.cancel()
 		}
 	}()
 }
 
-// stream returns the stream that the path names, or answers 404 and nil.
+// stream returns the stream of the attempt in the path. If there is none, it responds with 404
+// and returns nil.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -347,14 +356,14 @@
 		return
 	}
 	if r.URL.Query().Get("plain") != "" {
-		e.followPlain(w, r, s, EndingFor(e.cfg.Ending, mux.Vars(r)["attempt"]))
+		e.writeBody(w, r, s, EndingFor(e.cfg.Ending, mux.Vars(r)["attempt"]))
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	e.follow(w, r, s, from, EndingFor(e.cfg.Ending, mux.Vars(r)["attempt"]))
+	e.streamEvents(w, r, s, from, EndingFor(e.cfg.Ending, mux.Vars(r)["attempt"]))
 }
 
-// cancel ends a stream and says whether it had started.
+// cancel cancels a stream and responds whether it had started.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	s := e.stream(w, r)
 	if s == nil {
@@ -373,11 +382,11 @@
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, e.cache.since(after, e.cfg.Clock.Now(), e.cfg.ReportLag))
+	writeJSON(w, e.cache.eventsSince(after, e.cfg.Clock.Now(), e.cfg.ReportLag))
 }
 
-// exported is the form in which a cached prefix travels.
-type exported struct {
+// exportedPrefix is the wire format of a cached prefix.
+type exportedPrefix struct {
 	Hashes []uint64 `json:"hashes"`
 	Tokens []int    `json:"tokens"`
 }
@@ -391,12 +400,12 @@
 		return
 	}
 	p := el.Value.(*prefix)
-	writeJSON(w, exported{p.hashes, p.tokens})
+	writeJSON(w, exportedPrefix{p.hashes, p.tokens})
 }
 
 func (e *Engine) importCache(w http.ResponseWriter, r *http.Request) {
-	var x exported
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&x); err != nil || len(x.Hashes) != len(x.Tokens) {
+	var x exportedPrefix
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&x); err != nil || len(x.Hashes) != len(x.Tokens) {
 		http.Error(w, "malformed prefix", http.StatusBadRequest)
 		return
 	}
@@ -409,7 +418,7 @@
 	e.cache.store(p, e.cfg.Clock.Now())
 }
 
-// Order is a fenced order; one with a lower fence than the latest is refused.
+// Order sets the model. An order with a lower fencing token than the latest one is rejected.
 type Order struct {
 	Fence int64  `json:"fence"`
 	Model string `json:"model"`
@@ -417,14 +426,14 @@
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Fence < e.fence {
-		http.Error(w, "fenced off", http.StatusConflict)
+		http.Error(w, "the fence is lower than that of the latest order", http.StatusConflict)
 		return
 	}
 	e.fence, e.model = o.Fence, o.Model
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,7 +1,6 @@
-// Package platform is a small stand-in for the users' platform: configuration
-// values with revisions, read and watched by long poll, and the list of live
-// and leaving instances. Every call is counted and limited, and the stand-in
-// can be switched to down, slow or stale.
+// Package platform is a stand-in for the users' platform. It serves configuration values with
+// revisions, and the list of live and draining instances, by reads and long polls. Reads are
+// counted and rate limited, and tests can make the platform fail, slow or stale.
 package platform
 
 import (
@@ -20,26 +19,26 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Mode is a fault of the stand-in.
+// Mode is a fault of the stand-in, or OK.
 type Mode string
 
 const (
 	OK Mode = "ok"
-	// Down answers every read with 503.
+	// Down responds to every read with 503.
 	Down Mode = "down"
-	// Slow answers after three seconds.
+	// Slow responds after slowDelay.
 	Slow Mode = "slow"
-	// Stale answers with what was published when the mode began.
+	// Stale serves the values from the time when the mode was set.
 	Stale Mode = "stale"
 )
 
-const slowBy clock.Millis = 3000
+const slowDelay clock.Millis = 3000
 
-// MaxValue is the largest value in bytes.
+// MaxValue is the maximum size of a value in bytes.
 const MaxValue = 1 << 20
 
-// maxBatch bounds the values in one answer, in bytes.
-const maxBatch = 1 << 20
+// maxBatchBytes limits the values in one response. A single larger value is still sent.
+const maxBatchBytes = 1 << 20
 
 // Item is the latest value of a key.
 type Item struct {
@@ -49,7 +48,7 @@
 	Deleted bool   `json:"gone,omitempty"`
 }
 
-// Batch is the answer to a read: the items after a revision, ascending.
+// Batch is the response to a read: the items after a revision, in ascending order.
 type Batch struct {
 	Rev   int64  `json:"rev"`
 	Items []Item `json:"items"`
@@ -64,7 +63,7 @@
 type topic struct {
 	rev   int64
 	items map[string]versioned
-	// changed is closed and replaced with every change.
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
@@ -81,11 +80,11 @@
 	return c
 }
 
-// Config sets up the stand-in.
+// Config is the configuration of the stand-in.
 type Config struct {
-	// CallsPerSecond limits all reads together; zero is 2,000.
+	// CallsPerSecond limits all reads together. Zero stands for 2,000.
 	CallsPerSecond float64
-	// ListLag is how late the list of instances shows a change.
+	// ListLag is the delay with which a change shows in the list of instances.
 	ListLag clock.Millis
 	Clock   *clock.Clock
 }
@@ -132,7 +131,7 @@
 	return p.change(topicName, Item{Key: key, Value: value})
 }
 
-// Delete removes a value and returns the revision of that.
+// Delete removes a value and returns the revision of the removal.
 func (p *Platform) Delete(topicName, key string) int64 {
 	return p.change(topicName, Item{Key: key, Deleted: true})
 }
@@ -153,7 +152,7 @@
 	return t.rev
 }
 
-// SetMode switches a fault on or, with OK, off.
+// SetMode sets the fault and wakes all long polls.
 func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,14 +169,15 @@
 	}
 }
 
-// Calls returns the number of reads so far, refused ones included.
+// Calls returns the number of reads so far, including the rejected ones.
 func (p *Platform) Calls() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// view returns the mode and the topic as readers see it now.
+// view returns the mode, the batch that a reader gets now, a channel that is closed at the next
+// change, and the time at which the next change becomes visible, 0 if none is pending.
 func (p *Platform) view(name string, after int64) (Mode, Batch, <-chan struct{}, clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,7 +203,7 @@
 	}
 	slices.SortFunc(b.Items, func(x, y Item) int { return cmp.Compare(x.Rev, y.Rev) })
 	for i, n := 0, 0; i < len(b.Items); i++ {
-		if n += len(b.Items[i].Value); n > maxBatch && i > 0 {
+		if n += len(b.Items[i].Value); n > maxBatchBytes && i > 0 {
 			b.Items, b.More = b.Items[:i], true
 			b.Rev = b.Items[i-1].Rev
 			break
@@ -212,14 +212,14 @@
 	return p.mode, b, changed, next
 }
 
-func (p *Platform) count() {
+func (p *Platform) countCall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
 }
 
 func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
-	p.count()
+	p.countCall()
 	if !p.limiter.Allow() {
 		http.Error(w, "too many calls", http.StatusTooManyRequests)
 		return
@@ -239,7 +239,7 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		case Slow:
-			if !clock.Sleep(r.Context(), slowBy) {
+			if !clock.Sleep(r.Context(), slowDelay) {
 				return
 			}
 		}
@@ -253,14 +253,14 @@
 		if next > 0 {
 			until = min(end, next)
 		}
-		if !waitFor(r, changed, until-now) {
+		if !waitForChange(r, changed, until-now) {
 			return
 		}
 	}
 }
 
-// waitFor returns false when the caller has gone.
-func waitFor(r *http.Request, changed <-chan struct{}, d clock.Millis) bool {
+// waitForChange waits for a change or for d. It returns false if the client has disconnected.
+func waitForChange(r *http.Request, changed <-chan struct{}, d clock.Millis) bool {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -276,7 +276,7 @@
 func (p *Platform) setMode(w http.ResponseWriter, r *http.Request) {
 	m := Mode(r.URL.Query().Get("mode"))
 	if !slices.Contains([]Mode{OK, Down, Slow, Stale}, m) {
-		http.Error(w, "mode: ok, down, slow or stale", http.StatusBadRequest)
+		http.Error(w, "mode must be ok, down, slow or stale", http.StatusBadRequest)
 		return
 	}
 	p.SetMode(m)
--- a/standin/service/ending_test.go
+++ b/standin/service/ending_test.go
@@ -14,7 +14,8 @@
 	"github.com/weldfall/weldfall/standin/service"
 )
 
-func TestStandInsEndAnswersWithTheirConnections(t *testing.T) {
+// The stand-ins of engines and services implement each engine.Ending.
+func TestStandInsEndResponsesWithTheirConnections(t *testing.T) {
 	ending := func(attempt string) engine.Ending {
 		name, _, _ := strings.Cut(attempt, "-")
 		return engine.Ending(name)
@@ -25,7 +26,7 @@
 	}
 	for _, tc := range []struct {
 		handler, body string
-		framed        framing.Framing
+		want          framing.Framing
 	}{
 		{"service", "{}", framing.Length},
 		{"engine", `{"messages":[{"role":"user","content":"x"}]}`, framing.Length},
@@ -33,23 +34,23 @@
 	} {
 		srv := httptest.NewServer(handlers[tc.handler])
 		defer srv.Close()
-		whole, framed := post(t, srv.URL, tc.body, engine.Framed)
-		if framed != tc.framed {
-			t.Errorf("%s %s: got framing %s, want %s", tc.handler, tc.body, framed, tc.framed)
+		complete, framed := post(t, srv.URL, tc.body, engine.Framed)
+		if framed != tc.want {
+			t.Errorf("%s %s: got framing %s, want %s", tc.handler, tc.body, framed, tc.want)
 		}
 		got, framed := post(t, srv.URL, tc.body, engine.UntilClose)
-		if framed != framing.UntilClose || len(got) < len(whole) {
-			t.Errorf("%s %s: got %q by %s, want all until close", tc.handler, tc.body, got, framed)
+		if framed != framing.UntilClose || len(got) < len(complete) {
+			t.Errorf("%s %s: got %q by %s, want the complete body until close", tc.handler, tc.body, got, framed)
 		}
 		got, framed = post(t, srv.URL, tc.body, engine.Truncated)
-		if framed != framing.UntilClose || got == "" || strings.HasSuffix(got, "\n") || len(got) >= len(whole) {
-			t.Errorf("%s %s: got %q by %s, want a part until close", tc.handler, tc.body, got, framed)
+		if framed != framing.UntilClose || got == "" || strings.HasSuffix(got, "\n") || len(got) >= len(complete) {
+			t.Errorf("%s %s: got %q by %s, want a part of the body until close", tc.handler, tc.body, got, framed)
 		}
 	}
 }
 
-// post returns an answer that ends without an error, and its framing. The attempt begins with
-// how it ends.
+// post sends a request whose attempt ID starts with the ending of its response. It returns the
+// body and the framing, and fails the test if the body ends with an error.
 func post(t *testing.T, url, body string, ending engine.Ending) (string, framing.Framing) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,5 @@
-// Package service is a small stand-in for a plain service. It answers each
-// request with a body that depends on it, and keeps a count of what really
-// ran, by request key.
+// Package service is a stand-in for a plain service. It responds to each
+// request with a body that depends on the request, and records each request that it starts.
 package service
 
 import (
@@ -16,16 +15,16 @@
 	"github.com/weldfall/weldfall/standin/engine"
 )
 
-// Config sets up the stand-in.
+// Config is the configuration of the stand-in.
 type Config struct {
 	ID string
-	// Delay is how long a request runs.
+	// Delay is the processing time of a request.
 	Delay clock.Millis
-	// PaddingBytes pads the answer, in bytes.
+	// PaddingBytes is the length of the padding in the response.
 	PaddingBytes int
-	// Started is called for each request that starts, may be nil.
+	// Started is called at the start of each request. It may be nil.
 	Started func(engine.Run)
-	// Ending returns how an answer to an attempt ends, may be nil for engine.Framed.
+	// Ending returns how the response to an attempt ends. Nil stands for engine.Framed.
 	Ending func(attempt string) engine.Ending
 }
 
@@ -39,13 +38,13 @@
 
 var _ http.Handler = (*Service)(nil)
 
-// New returns a service.
+// New returns a service that has started no requests.
 func New(cfg Config) *Service { return &Service{cfg: cfg} }
 
-// maxBody is the largest request in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes is the maximum size of a request.
+const maxBodyBytes = 16 << 20
 
-// Runs returns what has started so far, in order.
+// Runs returns the requests started so far, in order.
 func (s *Service) Runs() []engine.Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +58,7 @@
 		_ = json.NewEncoder(w).Encode(s.Runs())
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
@@ -73,7 +72,7 @@
 	}
 	clock.Sleep(r.Context(), s.cfg.Delay)
 	w.Header().Set("Content-Type", "application/json")
-	answer, err := json.Marshal(map[string]any{
+	response, err := json.Marshal(map[string]any{
 		"path": r.URL.RequestURI(), "method": r.Method, "bytes": len(body),
 		"echo": xxh3.Hash(body), "padding": strings.Repeat("x", s.cfg.PaddingBytes),
 	})
@@ -83,6 +82,6 @@
 	}
 	ending := engine.EndingFor(s.cfg.Ending, run.Attempt)
 	ending.SetFraming(w)
-	// A caller that is gone needs no answer.
-	_, _ = w.Write(ending.Truncate(append(answer, '\n')))
+	// Fails if the client has disconnected.
+	_, _ = w.Write(ending.Truncate(append(response, '\n')))
 }
