--- a/commands/gate.go
+++ b/commands/gate.go
@@ -44,7 +44,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	boot, err := platform.LoadBoot()
+	boot, err := platform.LoadSettings()
 	if err != nil {
 		return usageError{err}
 	}
@@ -71,12 +71,12 @@
 }
 
 // runGate serves until ctx is done and what is in flight has finished.
-func runGate(ctx context.Context, boot platform.Boot, log *slog.Logger, ls []net.Listener, hup <-chan os.Signal) error {
+func runGate(ctx context.Context, boot platform.Settings, log *slog.Logger, ls []net.Listener, hup <-chan os.Signal) error {
 	clk, link := clock.System(), downlink.New(boot.Link)
 	g := gate.New(gate.Config{
 		ID: boot.ID, Dialect: platform.Dialect(), Bounds: boot.Bounds, Link: link, Clock: clk, Log: log,
 	})
-	reader := platform.NewReader(platform.NewStore(platform.StoreConfig{Addr: boot.Store, Link: link, Clock: clk}), g, boot.Waits, clk, log)
+	reader := platform.NewReader(platform.NewStore(platform.StoreConfig{Addr: boot.Store, Link: link, Clock: clk}), g, boot.Timing, clk, log)
 	readCtx, stopReading := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -103,7 +103,7 @@
 			return
 		case <-hup:
 		}
-		boot, err := platform.LoadBoot()
+		boot, err := platform.LoadSettings()
 		if err != nil {
 			log.Error("reload_refused", "error", err)
 			continue
--- a/measure/soak/again.go
+++ b/measure/soak/again.go
@@ -66,7 +66,7 @@
 		time.Sleep(lateBy)
 		w.mu.Lock()
 	}
-	e.StartAgain(by)
+	e.RestartWithClockOffset(by)
 	w.list(i, "ready")
 	w.rec.again(e.ID())
 	w.mu.Unlock()
@@ -128,7 +128,7 @@
 			continue
 		}
 		for _, run := range e.Runs() {
-			if run.At.After(from) {
+			if run.ArrivedAt.After(from) {
 				runs[e.ID()]++
 				all++
 			}
--- a/measure/soak/break.go
+++ b/measure/soak/break.go
@@ -82,7 +82,7 @@
 	}
 	p.Unframed = strings.HasPrefix(way, "unframed")
 	p.HalfClosed = strings.HasSuffix(way, "half_closed")
-	p.Orderly = !strings.HasSuffix(way, "reset")
+	p.CloseWithFIN = !strings.HasSuffix(way, "reset")
 	p.LastChunk = way == "last_chunk"
 	if !strings.Contains(way, "whole") {
 		p.CutAfter, p.CutBody = breakEvents, len(p.Body)*9/10
--- a/measure/soak/callers.go
+++ b/measure/soak/callers.go
@@ -24,7 +24,7 @@
 	// longMost is how many events the longest has, and longTokens what is told of
 	// it: 4.2 s, a little less than a stopping process has.
 	longMost   = 140
-	longTokens = longMost * standin.Stride
+	longTokens = longMost * standin.EventTokens
 	// leastPart is the part of what is told that comes at least. fullShare of the
 	// answers have all of it; the rest are mostly short, since the part rises by
 	// this power of an even draw. A process that served for a second so has seen
@@ -42,7 +42,7 @@
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, id)
 	rng := rand.New(rand.NewPCG(h.Sum64(), uint64(tokens)))
-	most := float64(tokens / standin.Stride)
+	most := float64(tokens / standin.EventTokens)
 	if rng.Float64() < fullShare {
 		return int(most)
 	}
@@ -69,7 +69,7 @@
 	w.callWith(longPatience, w.protoOf(g, c), func(n int) asked {
 		a := asked{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, c, n), path: longPath + "x", key: keyKept, tokens: longTokens, sent: time.Now()}
 		if rng.IntN(2) == 0 {
-			a.tokens = standin.Stride * (1 + rng.IntN(longMost))
+			a.tokens = standin.EventTokens * (1 + rng.IntN(longMost))
 		}
 		return a
 	}, rng)
@@ -120,7 +120,7 @@
 
 func (w *world) request(addr string, a asked) (*http.Request, error) {
 	prompt := fmt.Sprintf("p%d:100,q%d:900,%s:10", len(a.id)%3, len(a.id)%7, a.id)
-	return standin.NewRequest(standin.Ask{
+	return standin.NewRequest(standin.RequestParams{
 		URL: "http://" + addr + a.path, Host: host, ID: a.id, Key: a.key, Prompt: prompt, Deadline: a.deadline(), Tokens: a.tokens, Body: a.marked,
 	})
 }
--- a/measure/soak/copies.go
+++ b/measure/soak/copies.go
@@ -41,14 +41,14 @@
 	if revokes {
 		before, after = (before+copiedBefore)/2, (after+2*rewrittenAfter)/3
 	}
-	c := w.store.Copy()
+	c := w.store.Snapshot()
 	if revokes {
 		w.revoke()
 	}
 	time.Sleep(before)
 	w.store.SetFault(standin.Busy)
 	time.Sleep(before % awayFor)
-	w.store.ComeBack(c)
+	w.store.Restore(c)
 	w.store.SetFault(standin.None)
 	if revokes {
 		w.wg.Go(func() { w.gates[s.Who%len(w.gates)].restart(syscall.SIGKILL, w.quietFrom) })
--- a/measure/soak/ending.go
+++ b/measure/soak/ending.go
@@ -80,7 +80,7 @@
 		for _, run := range e.Runs() {
 			if strings.Contains(run.URI, endingMark) {
 				arrived[run.URI] = append(arrived[run.URI], run)
-				ended[run.URI] = append(ended[run.URI], run.At.Add(endsAfter))
+				ended[run.URI] = append(ended[run.URI], run.ArrivedAt.Add(endsAfter))
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 		slices.SortFunc(times, time.Time.Compare)
 		from, late := times[2].Add(contact), 0
 		for _, run := range arrived[uri] {
-			if run.At.After(from) && !r.outOfTouch(gates[run.ID], run.At) {
+			if run.ArrivedAt.After(from) && !r.outOfTouch(gates[run.ID], run.ArrivedAt) {
 				late++
 			}
 		}
--- a/measure/soak/export_test.go
+++ b/measure/soak/export_test.go
@@ -98,9 +98,9 @@
 		}
 		note(trouble{kind: c.Trouble, gate: everyGate, from: start.Add(c.From), until: start.Add(c.Until)})
 	}
-	runs := []*standin.Run{{At: start, Ended: c.Ran, Sent: cmp.Or(c.Sent, len(a.want()))}}
+	runs := []*standin.Run{{ArrivedAt: start, Ended: c.Ran, Sent: cmp.Or(c.Sent, len(a.want()))}}
 	if c.Before != "" {
-		runs = append(runs, &standin.Run{At: start.Add(-time.Millisecond), Framed: c.Before, Ended: framing.Incomplete})
+		runs = append(runs, &standin.Run{ArrivedAt: start.Add(-time.Millisecond), Framed: c.Before, Ended: framing.Incomplete})
 	}
 	r.judgeEnd(a, runs)
 	return r.broken
--- a/measure/soak/hush.go
+++ b/measure/soak/hush.go
@@ -82,13 +82,13 @@
 	defer w.store.SetFault(standin.None)
 	switch s.How {
 	case hushCut:
-		w.store.Cut()
+		w.store.CutWatches()
 	case hushHalf:
 		time.Sleep(s.For / 2)
-		w.store.Cut()
+		w.store.CutWatches()
 	case hushOften:
 		for time.Until(end) > hushCutEvery {
-			w.store.Cut()
+			w.store.CutWatches()
 			time.Sleep(hushCutEvery)
 		}
 	}
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -247,7 +247,7 @@
 	for i, e := range engines {
 		for _, run := range e.Runs() {
 			if services[i] == service {
-				byID[run.ID] = append(byID[run.ID], run.At)
+				byID[run.ID] = append(byID[run.ID], run.ArrivedAt)
 			}
 		}
 	}
@@ -292,8 +292,8 @@
 	}
 	until := r.mayGet(at)
 	for _, run := range e.Runs() {
-		if run.At.After(until) {
-			r.breaks("%s reached %s %v after it was published as leaving", run.ID, e.ID(), run.At.Sub(at))
+		if run.ArrivedAt.After(until) {
+			r.breaks("%s reached %s %v after it was published as leaving", run.ID, e.ID(), run.ArrivedAt.Sub(at))
 			return
 		}
 	}
--- a/measure/soak/judge_end.go
+++ b/measure/soak/judge_end.go
@@ -18,7 +18,7 @@
 	if len(runs) == 0 {
 		return
 	}
-	last := slices.MaxFunc(runs, func(x, y *standin.Run) int { return x.At.Compare(y.At) })
+	last := slices.MaxFunc(runs, func(x, y *standin.Run) int { return x.ArrivedAt.Compare(y.ArrivedAt) })
 	passed := a.signature != ""
 	switch {
 	case !passed, a.end == framing.Incomplete:
--- a/measure/soak/process.go
+++ b/measure/soak/process.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	boot := standin.Boot{Revocation: revocation, RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: retryWindow, Leaving: rec.leaving}
+	boot := standin.Settings{Revocation: revocation, RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: retryWindow, Leaving: rec.leaving}
 	if cfg.Play == Growing {
 		l.Pace(slowLink)
 		boot.LinkMbps, boot.Change = slowLink/bytesPerMegabit, changeBound
@@ -64,7 +64,7 @@
 	g := &gate{cfg: cfg, boot: filepath.Join(cfg.Dir, fmt.Sprintf("gate-%d.toml", i)), callers: addrs[0], peers: addrs[2], store: l, number: i, rec: rec}
 	boot.Number, boot.Seeds, boot.Store = i, seeds, l.Addr()
 	boot.Callers, boot.Readiness, boot.Peers = addrs[0], addrs[1], addrs[2]
-	if err := os.WriteFile(g.boot, []byte(standin.BootText(boot)), 0o600); err != nil {
+	if err := os.WriteFile(g.boot, []byte(standin.SettingsText(boot)), 0o600); err != nil {
 		return nil, err
 	}
 	// One of a run before counts for nothing.
@@ -114,7 +114,7 @@
 		return nil
 	}
 	cmd := exec.Command(g.cfg.Binary, "gate", "--metrics-port", "0")
-	cmd.Env = append(os.Environ(), append(g.cfg.Env, platform.BootFile+"="+g.boot, clocktest.SuspensionsEnv+"="+g.suspensions())...)
+	cmd.Env = append(os.Environ(), append(g.cfg.Env, platform.SettingsFileEnv+"="+g.boot, clocktest.SuspensionsEnv+"="+g.suspensions())...)
 	cmd.Stdout, cmd.Stderr = g.logs, g.logs
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start gate: %w", err)
--- a/measure/soak/schedule.go
+++ b/measure/soak/schedule.go
@@ -143,7 +143,7 @@
 }
 
 var (
-	storeFaults = []standin.Fault{standin.Busy, standin.Limited, standin.Reset, standin.Silent, standin.Nonsense, standin.Deaf, standin.Mute}
+	storeFaults = []standin.Fault{standin.Busy, standin.Limited, standin.Reset, standin.Silent, standin.Malformed, standin.EmptyWatches, standin.HungWatches}
 	linkFaults  = []proxy.Fault{proxy.Delayed, proxy.Cut, proxy.DeafTo, proxy.DeafFrom, proxy.Resets}
 	commonWays  = []string{"refuse", "reset", "error"}
 	silences    = []proxy.Fault{proxy.Cut, proxy.DeafTo, proxy.DeafFrom}
--- a/measure/soak/soak.go
+++ b/measure/soak/soak.go
@@ -122,7 +122,7 @@
 	defer cancel()
 	w := &world{cfg: cfg, store: standin.NewStore(3), ctx: ctx, rec: &record{leaving: leavingFor(cfg.Gates), left: map[string]time.Time{}, restarted: map[string]bool{}, revoked: map[string]time.Time{}, published: map[int]time.Time{}}}
 	if cfg.Play == Copying {
-		w.store.TellEra(1)
+		w.store.SetEpoch(1)
 	}
 	if err := w.start(); err != nil {
 		return Report{}, err
@@ -244,7 +244,7 @@
 	w.engines, w.services, w.links = append(w.engines, e), append(w.services, service), append(w.links, l)
 	i := len(w.engines) - 1
 	w.list(i, "ready")
-	e.OnBack(func() {
+	e.OnRestart(func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.list(i, w.rec.state(e.ID()))
@@ -276,7 +276,7 @@
 	if w.revoked {
 		keys = keys[:1]
 	}
-	w.store.PutConfig(standin.Published{Version: w.version, Host: host, Workspace: workspace, Keys: keys, Idle: w.idle})
+	w.store.PutConfig(standin.Config{Version: w.version, Host: host, Workspace: workspace, Keys: keys, UnusedRoutes: w.idle})
 }
 
 // behave returns how an engine answers: well, or in the given way now and then.
@@ -303,9 +303,9 @@
 		case "cut":
 			p.CutAfter = 3
 		case "extra":
-			p.Extra = true
+			p.StrayAfter = true
 		case "older":
-			p.ExtraFirst = true
+			p.StrayBefore = true
 		case "unframed":
 			p.Unframed = true
 		case "garbage":
