--- a/entry/entry.go
+++ b/entry/entry.go
@@ -120,7 +120,7 @@
 	})
 	e.offers = offer.New(e.links, e.node)
 	e.guard = quarantine.NewGuard(cfg.Clock, cfg.Log)
-	e.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: suspects{e.guard}, Links: e.links, RandomPeers: e.node.Entries, Log: cfg.Log})
+	e.gossip = gossip.New(gossip.Config{ID: cfg.ID, Source: suspects{e.guard}, Links: e.links, RandomPeers: e.node.RandomEntries, Log: cfg.Log})
 	return e
 }
 
@@ -232,7 +232,7 @@
 	}
 	return &call{
 		w: w, r: r, service: service, startMicros: e.clk.Micros(), start: e.clk.Now(),
-		id: fmt.Sprintf("%s-%x-%d", e.cfg.ID, link.Boot()&0xffffff, e.seq.Add(1)),
+		id: fmt.Sprintf("%s-%x-%d", e.cfg.ID, link.BootID()&0xffffff, e.seq.Add(1)),
 	}
 }
 
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -121,9 +121,9 @@
 	if known && it.Rev <= old.Rev {
 		return st.addGood(old, it)
 	}
-	if known && it.Good == "" && !it.Gone {
+	if known && it.LastGood == "" && !it.Gone {
 		// The last good value goes along until a valid one comes.
-		it.Good, it.GoodRev = old.Good, old.GoodRev
+		it.LastGood, it.LastGoodRev = old.LastGood, old.LastGoodRev
 	}
 	st.items[it.Key] = it
 	delete(st.invalid, it.Key)
@@ -140,10 +140,10 @@
 
 // addGood takes a newer last good value of an item that is known already.
 func (st *topicState) addGood(old, it wire.Item) bool {
-	if it.Rev != old.Rev || !st.invalid[it.Key] || it.GoodRev <= old.GoodRev {
+	if it.Rev != old.Rev || !st.invalid[it.Key] || it.LastGoodRev <= old.LastGoodRev {
 		return false
 	}
-	old.Good, old.GoodRev = it.Good, it.GoodRev
+	old.LastGood, old.LastGoodRev = it.LastGood, it.LastGoodRev
 	st.items[it.Key] = old
 	return true
 }
@@ -161,21 +161,21 @@
 		return
 	}
 	if it, ok := st.items[key]; ok {
-		it.Good, it.GoodRev = good, goodRev
+		it.LastGood, it.LastGoodRev = good, goodRev
 		st.items[key] = it
 		st.invalid[key] = true
 	}
 }
 
-// Complete records that everything up to rev of a topic has been added.
-func (s *Store) Complete(t wire.Topic, rev int64) {
+// MarkComplete records that everything up to rev of a topic has been added.
+func (s *Store) MarkComplete(t wire.Topic, rev int64) {
 	if st := s.topics[t]; st != nil {
 		st.upto = max(st.upto, rev)
 	}
 }
 
-// Heard records that the platform answered somebody age ago.
-func (s *Store) Heard(age, now clock.Millis) {
+// RecordPlatformAnswer records that the platform answered somebody age ago.
+func (s *Store) RecordPlatformAnswer(age, now clock.Millis) {
 	if at := now - age; !s.isHeard || at > s.heard {
 		s.heard, s.isHeard = at, true
 	}
@@ -184,8 +184,8 @@
 // neverHeard stands for a platform that nobody has heard from.
 const neverHeard clock.Millis = 1 << 40
 
-// Fresh returns how long ago the platform last answered anybody.
-func (s *Store) Fresh(now clock.Millis) clock.Millis {
+// PlatformAge returns how long ago the platform last answered anybody.
+func (s *Store) PlatformAge(now clock.Millis) clock.Millis {
 	if !s.isHeard {
 		return neverHeard
 	}
@@ -201,7 +201,7 @@
 		if it.Rev != rk.rev || rk.rev > st.upto {
 			continue
 		}
-		size := len(it.Key) + len(it.Value) + len(it.Good) + itemOverhead
+		size := len(it.Key) + len(it.Value) + len(it.LastGood) + itemOverhead
 		if used > 0 && used+size > bytes {
 			return items, items[len(items)-1].Rev, used
 		}
@@ -216,9 +216,9 @@
 // one exchange.
 const maxGoods = 8
 
-// Ask returns the message that starts an exchange with a random peer.
-func (s *Store) Ask(self string, now clock.Millis) wire.Exchange {
-	return wire.Exchange{From: self, Revs: s.Revs(), Fresh: s.Fresh(now), Goods: s.goods()}
+// NewExchange returns the message that starts an exchange with a random peer.
+func (s *Store) NewExchange(self string, now clock.Millis) wire.Exchange {
+	return wire.Exchange{From: self, Revs: s.Revs(), PlatformAge: s.PlatformAge(now), LastGoodRevs: s.goods()}
 }
 
 // goods returns the last good revisions of items whose latest value is not
@@ -230,7 +230,7 @@
 			if len(out) == maxGoods {
 				return out
 			}
-			out[key] = st.items[key].GoodRev
+			out[key] = st.items[key].LastGoodRev
 		}
 	}
 	return out
@@ -239,8 +239,8 @@
 // Answer answers a peer's exchange: with what the peer lacks, in the order of
 // Topics, and with what this process has.
 func (s *Store) Answer(e wire.Exchange, now clock.Millis) wire.Exchanged {
-	s.Heard(e.Fresh, now)
-	out := wire.Exchanged{Revs: s.Revs(), Fresh: s.Fresh(now), Upto: map[wire.Topic]int64{}}
+	s.RecordPlatformAnswer(e.PlatformAge, now)
+	out := wire.Exchanged{Revs: s.Revs(), PlatformAge: s.PlatformAge(now), Upto: map[wire.Topic]int64{}}
 	left := s.chunkBytes
 	for _, t := range wire.Topics {
 		st := s.topics[t]
@@ -253,8 +253,8 @@
 		out.Upto[t] = upto
 		left -= used
 	}
-	for key, rev := range e.Goods {
-		if it, ok := s.find(key); ok && it.GoodRev > rev {
+	for key, rev := range e.LastGoodRevs {
+		if it, ok := s.find(key); ok && it.LastGoodRev > rev {
 			out.Items = append(out.Items, it)
 		}
 	}
@@ -271,12 +271,12 @@
 	return wire.Item{}, false
 }
 
-// Learn takes the answer to an exchange and returns the items that were news.
-func (s *Store) Learn(e wire.Exchanged, now clock.Millis) []wire.Item {
-	s.Heard(e.Fresh, now)
+// ApplyAnswer takes the answer to an exchange and returns the items that were news.
+func (s *Store) ApplyAnswer(e wire.Exchanged, now clock.Millis) []wire.Item {
+	s.RecordPlatformAnswer(e.PlatformAge, now)
 	news := s.Add(e.Items)
 	for t, rev := range e.Upto {
-		s.Complete(t, rev)
+		s.MarkComplete(t, rev)
 	}
 	return news
 }
