--- a/entry/send.go
+++ b/entry/send.go
@@ -101,11 +101,11 @@
 	clk *clock.Clock
 }
 
-// Frames implements offer.Answer.
-func (a answer) Frames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
+// WriteFrames implements offer.ResponseWriter.
+func (a answer) WriteFrames(frames []wire.Frame) error { return a.c.write(frames, a.clk) }
 
-// Begun implements offer.Answer.
-func (a answer) Begun() bool { return a.c.headSent }
+// Started implements offer.ResponseWriter.
+func (a answer) Started() bool { return a.c.headSent }
 
 // isFault tells refusals that retries could multiply from the ordinary steps
 // of finding the right engine.
@@ -142,7 +142,7 @@
 		PartnerShare: v.Fairness.PartnerShare, WorkspaceShare: v.Fairness.WorkspaceShare, Priority: v.Fairness.Priority,
 		Chat:   c.chatKey,
 		Method: c.r.Method, Path: targetPath(c), Header: targetHeader(c.r), Body: c.body,
-		Stream: c.chat.Stream(), WantUsage: c.chat.WantUsage(),
+		Stream: c.chat.WantsStream(), WantUsage: c.chat.WantsUsage(),
 		Cost: c.chat.Cost(len(c.body)), Remaining: c.left(e.clk.Now()), Once: c.once,
 		MeanLoad: mean, LoadBound: v.Routing.LoadBound, LoadFloor: v.Routing.LoadFloor, QueueLimit: v.Limits.QueuePerEngine, Loads: e.node.FreshestLoads(),
 	}
--- a/gate/account.go
+++ b/gate/account.go
@@ -119,7 +119,7 @@
 	case attempt.Broken:
 		cause = o.Err.Error()
 	case attempt.Failed:
-		cause = "status " + strconv.Itoa(o.Answer.Status)
+		cause = "status " + strconv.Itoa(o.Response.Status)
 	}
 	g.log.Info("attempt_ended", "request", c.id, "service", c.service, "engine", e.ID, "outcome", outcomeName(o), "cause", cause,
 		"again", granted.allowed(), "repeat", granted, "ran", c.ran, "allowed", c.route.Attempts, "left_ms", left)
--- a/gate/reading.go
+++ b/gate/reading.go
@@ -22,17 +22,17 @@
 		if len(g.prefillSpeeds) >= maxPrefillSpeeds {
 			clear(g.prefillSpeeds)
 		}
-		s = &prefill.Speed{}
+		s = &prefill.Estimator{}
 		g.prefillSpeeds[c.service] = s
 	}
-	s.Note(c.suffixTokens, now-c.sentAt)
+	s.Observe(c.suffixTokens, now-c.sentAt)
 }
 
 // prefillMillis returns the time that an engine of a service takes to prefill one token, in
 // milliseconds, 0 if that is unknown. The caller holds mu.
 func (g *Gate) prefillMillis(service string) float64 {
 	if s := g.prefillSpeeds[service]; s != nil {
-		return s.PerToken()
+		return s.MillisPerToken()
 	}
 	return 0
 }
--- a/gate/repeats.go
+++ b/gate/repeats.go
@@ -53,7 +53,7 @@
 func (g *Gate) budget(service string) *serviceBudget {
 	bounds := g.bounds()
 	cfg := budget.Config{
-		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.ArrivalLag, StartedAt: g.startedAt,
+		Ratio: bounds.RetryRatio, Window: bounds.RetryWindow, Lag: upstream.MaxArrivalDelay, StartedAt: g.startedAt,
 		Extra: bounds.RetryExtra / float64(max(minRetryParts, retryPartsPerEntry*g.maxEntries)),
 	}
 	if b := g.budgets[service]; b != nil {
--- a/gate/suspects.go
+++ b/gate/suspects.go
@@ -40,7 +40,7 @@
 	case err != nil:
 		g.guard.EndTrial(c.suspect())
 	default:
-		hash := e.Incarnation().Mark()
+		hash := e.Incarnation().Hash()
 		g.reserve(hash, g.clk.Now()+quarantine.TrialTimeout)
 		g.guard.StartTrial(c.suspect(), hash, e.ID)
 	}
@@ -64,7 +64,7 @@
 // that has ended gets no more requests. Other entries may know better which of its requests
 // caused the crash.
 func (g *Gate) recordOutcome(ctx context.Context, c *call, e pick, o attempt.Outcome) {
-	hash := e.Incarnation().Mark()
+	hash := e.Incarnation().Hash()
 	switch o := o.(type) {
 	case attempt.Answered:
 		if o.End == framing.Complete && c.reply.Status() < http.StatusMultipleChoices {
@@ -85,19 +85,19 @@
 func (g *Gate) recordBreak(ctx context.Context, c *call, e pick, err error) {
 	inc := e.Incarnation()
 	if g.engineEnded(ctx, e.Info, err) {
-		g.guard.RecordCrash(c.suspect(), inc.Mark(), e.ID)
+		g.guard.RecordCrash(c.suspect(), inc.Hash(), e.ID)
 		return
 	}
 	silent := errors.Is(err, upstream.ErrSilent)
-	if ctx.Err() != nil || !(silent || upstream.BrokenOff(err)) {
+	if ctx.Err() != nil || !(silent || upstream.ClosedByPeer(err)) {
 		return
 	}
-	g.guard.RecordBrokenAttempt(c.suspect(), inc.Mark(), e.ID, silent)
+	g.guard.RecordBrokenAttempt(c.suspect(), inc.Hash(), e.ID, silent)
 	g.mu.Lock()
-	crashed := g.book.Crashed(inc)
+	crashed := g.registry.Crashed(inc)
 	g.mu.Unlock()
 	if crashed {
-		g.guard.RecordIncarnationEnd(inc.Mark(), e.ID, endedByList)
+		g.guard.RecordIncarnationEnd(inc.Hash(), e.ID, endedByList)
 	}
 }
 
@@ -108,11 +108,11 @@
 // engineEnded reports whether the engine that broke off an exchange has ended. A broken
 // connection alone says nothing about the request.
 func (g *Gate) engineEnded(ctx context.Context, e engines.Info, err error) bool {
-	if !upstream.BrokenOff(err) || ctx.Err() != nil {
+	if !upstream.ClosedByPeer(err) || ctx.Err() != nil {
 		return false
 	}
 	ended, _, _ := g.endChecks.Do(e.Addr, func() (any, error) {
-		return g.pool.Ended(context.WithoutCancel(ctx), e.Addr), nil
+		return g.pool.ProcessEnded(context.WithoutCancel(ctx), e.Addr), nil
 	})
 	if ended != true {
 		return false
@@ -125,9 +125,9 @@
 // again.
 func (g *Gate) markLost(n engines.Incarnation) {
 	g.mu.Lock()
-	trust := engines.Unchanged
-	if e := g.book.Find(n); e != nil {
-		trust = e.Lost(g.clk.Now())
+	trust := engines.TrustUnchanged
+	if e := g.registry.Find(n); e != nil {
+		trust = e.MarkLost(g.clk.Now())
 	}
 	g.mu.Unlock()
 	g.applyTrust(n, trust, "ended")
@@ -137,7 +137,7 @@
 func (g *Gate) reserve(hash uint32, until clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.book.Marked(hash); e != nil {
+	if e := g.registry.ByHash(hash); e != nil {
 		e.Reserve(until)
 	}
 }
@@ -146,8 +146,8 @@
 func (g *Gate) isLost(hash uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.book.Marked(hash)
-	return e != nil && e.Unreached()
+	e := g.registry.ByHash(hash)
+	return e != nil && e.IsUnreachable()
 }
 
 // ReceiveSuspects implements peers.Host.
--- a/gate/suspend.go
+++ b/gate/suspend.go
@@ -20,7 +20,7 @@
 // requests are cancelled here.
 func (g *Gate) onSuspend(gap clock.Millis) {
 	g.log.Warn("suspended", "gap_ms", gap)
-	g.pool.ForgetIdle()
+	g.pool.CloseIdle()
 	clock.Sleep(context.Background(), overdueDelay)
 	if n := g.shutdown.abortOverdue(g.clk.Now()); n > 0 {
 		g.log.Warn("overdue", "requests", n, "gap_ms", gap)
@@ -29,11 +29,11 @@
 
 // abortOverdue cancels the exchanges of calls in flight whose deadline has passed and
 // returns their number.
-func (l *shutdown) abortOverdue(now clock.Millis) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *shutdown) abortOverdue(now clock.Millis) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	n := 0
-	for c := range l.inFlight {
+	for c := range s.inFlight {
 		if c.timeLeft(now) > 0 {
 			continue
 		}
