--- a/measure/soak/hush.go
+++ b/measure/soak/hush.go
@@ -82,13 +82,13 @@
 	defer w.store.SetFault(standin.None)
 	switch s.Variant {
 	case silenceCutAtStart:
-		w.store.Cut()
+		w.store.CutWatches()
 	case silenceCutHalfway:
 		time.Sleep(s.Duration / 2)
-		w.store.Cut()
+		w.store.CutWatches()
 	case silenceCutRepeatedly:
 		for time.Until(end) > silenceCutPeriod {
-			w.store.Cut()
+			w.store.CutWatches()
 			time.Sleep(silenceCutPeriod)
 		}
 	}
