--- a/internal/days/days.go
+++ b/internal/days/days.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// firstSpan is how many seconds count as the beginning of a day.
-	firstSpan = 2.0
-	// The marks and the floor of a day are low, so that it counts for the rules
-	// that it breaks; its score says nothing.
-	markOne, markZero, dayFloor = 0.9, 0.2, 0.1
+	// startSeconds is the length of the start of a day.
+	startSeconds = 2.0
+	// The score limits and the floor are low, so that only broken rules count. The
+	// score of a day means nothing.
+	scoreOne, scoreZero, scoreFloor = 0.9, 0.2, 0.1
 )
 
-// Day is a day of the bench.
+// Day is a day file of the bench.
 type Day struct {
-	// Label is what it is counted under: a kind with its variant, or a shape.
+	// Label groups days in the report: a kind with its variant, or a pattern of stops.
 	Label string `toml:"-"`
-	// Seed is what it was drawn from and is played with.
+	// Seed is used to draw the day and to run it.
 	Seed   uint64         `toml:"-"`
 	Name   string         `toml:"name"`
 	Slot   string         `toml:"slot"`
@@ -39,10 +39,10 @@
 	Faults []Trouble      `toml:"faults,omitempty"`
 }
 
-// TOML returns the text of the day file.
+// TOML returns the contents of the day file.
 func (d Day) TOML() ([]byte, error) { return toml.Marshal(map[string][]Day{"day": {d}}) }
 
-// Path returns that of the day file in dir.
+// Path returns the path of the day file in dir.
 func (d Day) Path(dir string) string { return filepath.Join(dir, d.Name+".toml") }
 
 // Write writes the day file into dir.
@@ -54,10 +54,10 @@
 	return os.WriteFile(d.Path(dir), text, 0o644)
 }
 
-// day sorts troubles into planned work and the rest.
-func (s Site) day(label, shape string, seed uint64, troubles []Trouble) Day {
+// newDay returns a day with the troubles, split into planned work and faults.
+func (s Site) newDay(label, shape string, seed uint64, troubles []Trouble) Day {
 	name := strings.NewReplacer(" ", "-", "/", "-").Replace(fmt.Sprintf("%s-%s-%d", label, shape, seed))
-	d := Day{Label: label, Seed: seed, Name: name, Slot: "trouble", One: markOne, Zero: markZero, Goal: map[string]any{"floor": dayFloor}}
+	d := Day{Label: label, Seed: seed, Name: name, Slot: "trouble", One: scoreOne, Zero: scoreZero, Goal: map[string]any{"floor": scoreFloor}}
 	for _, t := range troubles {
 		if slices.Contains(s.Planned, t.text("kind")) {
 			d.Plan = append(d.Plan, t)
@@ -68,42 +68,43 @@
 	return d
 }
 
-// Template is a kind with one of its variants, as an entry without a time.
+// Template is a trouble of a kind and variant, without a time.
 type Template struct {
 	entry Trouble
-	// span is for how many seconds it lasts, a third of the day at most; share
-	// is the bench's own figure, 0 where the entry holds one.
+	// span is its duration in seconds, at most a third of the day. share is the
+	// bench's default, 0 if the entry has its own share or count.
 	span, share float64
 }
 
-// Label returns kind, variant and the machines that it is bound to.
-func (v Template) Label() string {
-	return strings.Join(strings.Fields(v.entry.text("kind")+" "+v.entry.text("how")+" "+v.entry.text("on")), "/")
+// Label returns the kind, the variant, and the machines that it is limited to.
+func (tmpl Template) Label() string {
+	return strings.Join(strings.Fields(tmpl.entry.text("kind")+" "+tmpl.entry.text("how")+" "+tmpl.entry.text("on")), "/")
 }
 
-// Templates returns each kind alone, with each of its own variants, and as the
-// site's own entries have it; each label once.
+// Templates returns a template for each kind without a variant, for each kind with each of its
+// variants, and for each trouble of the site. Each label occurs once.
 func (s Site) Templates(kinds []Kind) (all []Template) {
 	for _, k := range kinds {
 		seen := map[string]bool{}
 		own := slices.DeleteFunc(slices.Clone(s.Troubles), func(t Trouble) bool { return t["kind"] != k.Name })
-		var wanted []Trouble
+		var fromBench []Trouble
 		for _, how := range append([]string{""}, k.Variants...) {
-			wanted = append(wanted, Trouble{"kind": k.Name, "how": how})
+			fromBench = append(fromBench, Trouble{"kind": k.Name, "how": how})
 		}
-		for _, t := range append(wanted, own...) {
-			if v := s.variant(k, t, own); !seen[v.Label()] {
-				seen[v.Label()] = true
-				all = append(all, v)
+		for _, t := range append(fromBench, own...) {
+			if tmpl := s.template(k, t, own); !seen[tmpl.Label()] {
+				seen[tmpl.Label()] = true
+				all = append(all, tmpl)
 			}
 		}
 	}
 	return all
 }
 
-// variant takes the site's entry of that variant; without one it takes what the
-// bench has no figure for from the site's first entry of the kind.
-func (s Site) variant(k Kind, t Trouble, own []Trouble) Template {
+// template returns the template of t. It uses the site's own trouble of the same kind, variant
+// and machines if there is one. Otherwise it takes the fields without a default from the site's
+// first trouble of the kind.
+func (s Site) template(k Kind, t Trouble, own []Trouble) Template {
 	if i := slices.IndexFunc(own, func(o Trouble) bool { return o.text("how") == t.text("how") && o["on"] == t["on"] }); i >= 0 {
 		t = maps.Clone(own[i])
 	} else if len(own) > 0 {
@@ -113,65 +114,65 @@
 			}
 		}
 	}
-	v := Template{entry: t, span: min(cmp.Or(t.num("for_s"), k.Defaults["for_s"]), s.Length/3)}
+	tmpl := Template{entry: t, span: min(cmp.Or(t.num("for_s"), k.Defaults["for_s"]), s.Length/3)}
 	if t["for_s"] != nil {
-		t["for_s"] = hundredths(v.span)
+		t["for_s"] = round2(tmpl.span)
 	}
 	if t["share"] == nil && t["count"] == nil {
-		v.share = k.Defaults["share"]
+		tmpl.share = k.Defaults["share"]
 	}
-	return v
+	return tmpl
 }
 
-// at returns the entry at a time, moved so that it ends within the day. A share
-// that is the bench's own is drawn around it.
-func (s Site) at(r *rand.Rand, v Template, at float64) Trouble {
-	t := maps.Clone(v.entry)
-	t["at"] = hundredths(max(0, min(at, s.Length-v.span)))
-	if v.share > 0 {
-		t["share"] = hundredths(min(1, v.share*between(r, 0.7, 1.5)))
+// schedule returns the entry at a time, moved so that it ends within the day. A default
+// share is varied by a factor of 0.7 to 1.5.
+func (s Site) schedule(r *rand.Rand, tmpl Template, at float64) Trouble {
+	t := maps.Clone(tmpl.entry)
+	t["at"] = round2(max(0, min(at, s.Length-tmpl.span)))
+	if tmpl.share > 0 {
+		t["share"] = round2(min(1, tmpl.share*uniform(r, 0.7, 1.5)))
 	}
 	return t
 }
 
-// Options says which days to draw; its fields are arguments of a command.
+// Options selects the days to draw. Its fields are arguments of a command.
 type Options struct {
 	Seed    uint64   `arg:"--seed" default:"1" help:"first seed"`
 	Seeds   uint64   `arg:"--seeds" default:"1" help:"number of seeds"`
-	Shapes  []string `arg:"--shapes" help:"alone first end twice over pair; all if left out, none with --stop"`
-	Only    []string `arg:"--only" help:"kinds, or labels of the table, to keep"`
-	Random  int      `arg:"--random" help:"keep so many, drawn with the seed; 0 keeps all"`
-	Stop    string   `arg:"--stop" help:"kind that stops entries: days of planned stops"`
-	Beside  []string `arg:"--beside" help:"planned kinds for days with stops"`
-	Under   []string `arg:"--under" help:"lasting kinds for days with stops"`
-	Planned []string `arg:"--planned" help:"kinds of planned work that no day of the site plans"`
+	Shapes  []string `arg:"--shapes" help:"alone first end twice over pair; default: all, or none with --stop"`
+	Only    []string `arg:"--only" help:"kinds, or labels of the report, to keep"`
+	Random  int      `arg:"--random" help:"number of days to keep, chosen at random by the seed; 0 keeps all"`
+	Stop    string   `arg:"--stop" help:"kind that stops entries; draws days of planned stops"`
+	Beside  []string `arg:"--beside" help:"planned kinds that occur during the stops"`
+	Under   []string `arg:"--under" help:"kinds that last throughout the stops"`
+	Planned []string `arg:"--planned" help:"additional kinds that count as planned work"`
 }
 
-// shapes are the ways in which the troubles of a day lie to each other: the
-// first begins in the part of the day from..to, and a second so many spans
-// after it.
-var shapes = map[string]struct{ from, to, low, high float64 }{
+// shapes are the arrangements of the troubles of a day. The first trouble starts between the
+// fractions from and to of the day. A second one starts minGap to maxGap spans later, if
+// maxGap is not 0.
+var shapes = map[string]struct{ from, to, minGap, maxGap float64 }{
 	"alone": {0.1, 0.9, 0, 0}, "first": {0, 0, 0, 0}, "end": {1, 1, 0, 0},
 	"twice": {0.1, 0.4, 1, 1.4}, "over": {0.1, 0.6, 0.2, 0.8}, "pair": {0.1, 0.6, 0, 1},
 }
 
-// Draw returns the days that are wanted; the same ones for the same seeds.
+// Draw returns the selected days. It returns the same days for the same seeds.
 func (s Site) Draw(kinds []Kind, w Options) (all []Day, err error) {
 	s.Planned = append(slices.Clone(s.Planned), w.Planned...)
-	variants := s.Templates(kinds)
+	templates := s.Templates(kinds)
 	if len(w.Shapes) == 0 && w.Stop == "" {
 		w.Shapes = slices.Sorted(maps.Keys(shapes))
 	}
 	for seed := w.Seed; seed < w.Seed+w.Seeds; seed++ {
 		for _, shape := range w.Shapes {
 			if _, ok := shapes[shape]; !ok {
-				return nil, fmt.Errorf("no shape %q; there are %s", shape, slices.Sorted(maps.Keys(shapes)))
+				return nil, fmt.Errorf("unknown shape %q; the shapes are %s", shape, slices.Sorted(maps.Keys(shapes)))
 			}
-			for _, v := range variants {
-				all = append(all, s.day(v.Label(), shape, seed, s.lay(source(seed, shape+v.Label()), shape, v, variants)))
+			for _, tmpl := range templates {
+				all = append(all, s.newDay(tmpl.Label(), shape, seed, s.troubles(newRand(seed, shape+tmpl.Label()), shape, tmpl, templates)))
 			}
 		}
-		stops, err := s.stops(w, variants, seed)
+		stops, err := s.stops(w, templates, seed)
 		if err != nil {
 			return nil, err
 		}
@@ -182,40 +183,41 @@
 		return len(w.Only) > 0 && !slices.Contains(w.Only, kind) && !slices.Contains(w.Only, d.Label)
 	})
 	if w.Random > 0 {
-		source(w.Seed, "random").Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		newRand(w.Seed, "random").Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		all = all[:min(w.Random, len(all))]
 	}
 	if len(all) == 0 {
-		return nil, errors.New("no day is left; list the days without --only, and give one seed or more")
+		return nil, errors.New("no days match; list the days without --only, and use at least one seed")
 	}
 	return all, nil
 }
 
-func (s Site) lay(r *rand.Rand, shape string, v Template, others []Template) []Trouble {
+// troubles returns the troubles of a day that has this shape.
+func (s Site) troubles(r *rand.Rand, shape string, tmpl Template, others []Template) []Trouble {
 	p := shapes[shape]
-	at := between(r, p.from, p.to) * s.Length
+	at := uniform(r, p.from, p.to) * s.Length
 	if shape == "first" {
-		at = between(r, 0, firstSpan)
+		at = uniform(r, 0, startSeconds)
 	}
-	all := []Trouble{s.at(r, v, at)}
-	at = all[0].num("at") + v.span*between(r, p.low, p.high)
+	all := []Trouble{s.schedule(r, tmpl, at)}
+	at = all[0].num("at") + tmpl.span*uniform(r, p.minGap, p.maxGap)
 	if shape == "pair" {
-		v = others[r.IntN(len(others))]
+		tmpl = others[r.IntN(len(others))]
 	}
-	if p.high > 0 {
-		all = append(all, s.at(r, v, at))
+	if p.maxGap > 0 {
+		all = append(all, s.schedule(r, tmpl, at))
 	}
 	return all
 }
 
-// source gives the same luck for the same seed and name.
-func source(seed uint64, name string) *rand.Rand {
+// newRand returns a generator that depends only on the seed and the name.
+func newRand(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-func between(r *rand.Rand, low, high float64) float64 { return low + r.Float64()*max(0, high-low) }
+func uniform(r *rand.Rand, low, high float64) float64 { return low + r.Float64()*max(0, high-low) }
 
-// hundredths keeps a day file readable.
-func hundredths(v float64) float64 { return math.Round(v*100) / 100 }
+// round2 rounds to hundredths, which keeps day files readable.
+func round2(v float64) float64 { return math.Round(v*100) / 100 }
--- a/internal/days/days_test.go
+++ b/internal/days/days_test.go
@@ -15,7 +15,7 @@
 	"github.com/weldfall/weldfall/internal/days"
 )
 
-// kindsText has the form of the bench's text, with kinds of this test's own.
+// kindsText has the format of the bench's output, with kinds of this test.
 const kindsText = `Each entry has 'at' and 'kind'. for_s: how long (5). gap_s: time between steps (1). share: part of the things.
 For servers, 'how' may also hold wide (of all copies) and every (none is spared). For machines, 'how' may also hold chief (the one that acted last), tail (it doesn't lead; with torn also wipe) or root. After these may stand again (a change, and more), twin (two such at once) and, for mach_halt, busy (each is stopped). Cuts are silent.
 
@@ -89,7 +89,7 @@
 
 var stops = days.Options{Seed: 1, Seeds: 20, Stop: "mach_halt", Beside: []string{"leave"}, Under: []string{"flood"}}
 
-func figure(t days.Trouble, field string) float64 {
+func number(t days.Trouble, field string) float64 {
 	if n, ok := t[field].(int64); ok {
 		return float64(n)
 	}
@@ -97,7 +97,7 @@
 	return n
 }
 
-func TestParseReadsTheVariantsOfEachKind(t *testing.T) {
+func TestParseKindsReadsVariants(t *testing.T) {
 	_, kinds := site(t)
 	want := map[string]string{
 		"flood": "", "drop": "", "mach_die": "again chief power root tail twin", "mach_halt": "again busy chief root tail twin",
@@ -113,15 +113,15 @@
 		hows := strings.FieldsFunc(want[k.Name], func(r rune) bool { return string(r) == sep })
 		slices.Sort(hows)
 		if !slices.Equal(k.Variants, hows) {
-			t.Errorf("%s: variants %q, want %q", k.Name, k.Variants, hows)
+			t.Errorf("%s: got variants %q, want %q", k.Name, k.Variants, hows)
 		}
 	}
 	if len(kinds) != len(want) {
-		t.Errorf("%d kinds, want %d", len(kinds), len(want))
+		t.Errorf("got %d kinds, want %d", len(kinds), len(want))
 	}
 }
 
-func TestParseReadsFigures(t *testing.T) {
+func TestParseKindsReadsDefaults(t *testing.T) {
 	_, kinds := site(t)
 	for _, tc := range []struct {
 		kind, field string
@@ -129,26 +129,26 @@
 	}{{"serv_grey", "x", 0.4}, {"serv_grey", "share", 0.2}, {"serv_grey", "for_s", 5}, {"serv_grey", "gap_s", 1}, {"mach_halt", "share", 1}, {"leave", "share", 0.5}} {
 		i := slices.IndexFunc(kinds, func(k days.Kind) bool { return k.Name == tc.kind })
 		if got := kinds[i].Defaults[tc.field]; got != tc.want {
-			t.Errorf("%s %s = %g, want %g", tc.kind, tc.field, got, tc.want)
+			t.Errorf("%s %s: got %g, want %g", tc.kind, tc.field, got, tc.want)
 		}
 	}
 	if _, ok := kinds[0].Defaults["x"]; ok {
-		t.Errorf("%s has a figure for x, which its text doesn't give", kinds[0].Name)
+		t.Errorf("%s: got a default for x, want none", kinds[0].Name)
 	}
 }
 
-func TestTextsOfAnotherFormAreErrors(t *testing.T) {
+func TestParseRejectsInvalidInput(t *testing.T) {
 	if _, err := days.ParseKinds("usage: bench kinds SITE\n"); err == nil {
-		t.Error("a text without kinds was read")
+		t.Error("got no error for a text without kinds")
 	}
 	for _, text := range []string{"", "length_s = 'x'", strings.Replace(siteText, "34.0", "3.0", 1), strings.Replace(siteText, "grace_s = 8.0", "", 1), strings.ReplaceAll(siteText, `class = "front"`, `app = "x"`)} {
 		if _, err := days.ParseSite([]byte(text)); err == nil {
-			t.Errorf("a site file was read that has no length, grace or entries: %.40q", text)
+			t.Errorf("got no error for a site file without a length, grace period or entries: %.40q", text)
 		}
 	}
 }
 
-func TestSameSeedSameDays(t *testing.T) {
+func TestDrawDependsOnSeedOnly(t *testing.T) {
 	text := func(w days.Options) string {
 		var b bytes.Buffer
 		for _, d := range draw(t, w) {
@@ -164,35 +164,35 @@
 		one, again := text(w), text(w)
 		w.Seed++
 		if one != again || one == text(w) {
-			t.Errorf("%+v: the days don't depend on the seed alone", w)
+			t.Errorf("%+v: got days that do not depend on the seed alone", w)
 		}
 	}
 }
 
-// A day is the same whatever else is drawn beside it.
-func TestADayDependsOnNoOther(t *testing.T) {
+// A day does not change if other days are drawn with it.
+func TestDayIsIndependentOfOtherDays(t *testing.T) {
 	all := draw(t, days.Options{Seed: 4, Shapes: []string{"alone", "twice"}})
 	few := draw(t, days.Options{Seed: 4, Shapes: []string{"twice"}, Only: []string{"serv_down/dark"}})
 	if len(few) != 1 {
-		t.Fatalf("%d days of one variant and shape", len(few))
+		t.Fatalf("got %d days of one variant and shape, want 1", len(few))
 	}
 	i := slices.IndexFunc(all, func(d days.Day) bool { return d.Name == few[0].Name })
 	if i < 0 || fmt.Sprint(all[i]) != fmt.Sprint(few[0]) {
-		t.Errorf("drawn alone: %v", few[0])
+		t.Errorf("got another day when drawn alone: %v", few[0])
 	}
 }
 
-func TestTroublesLieWithinTheDay(t *testing.T) {
+func TestTroublesAreWithinTheDay(t *testing.T) {
 	s, _ := site(t)
 	for _, w := range []days.Options{{Seed: 1, Seeds: 20}, stops} {
 		for _, d := range draw(t, w) {
 			all := slices.Concat(d.Plan, d.Faults)
 			if len(all) == 0 {
-				t.Errorf("%s holds nothing", d.Name)
+				t.Errorf("%s: got no troubles", d.Name)
 			}
 			for _, tr := range all {
-				if at := figure(tr, "at"); at < 0 || at+figure(tr, "for_s") > s.Length+0.011 || at >= s.Length {
-					t.Errorf("%s: %v in a day of %g s", d.Name, tr, s.Length)
+				if at := number(tr, "at"); at < 0 || at+number(tr, "for_s") > s.Length+0.011 || at >= s.Length {
+					t.Errorf("%s: got %v, want it within the day of %g s", d.Name, tr, s.Length)
 				}
 			}
 		}
@@ -204,19 +204,19 @@
 	const span = 5
 	for _, d := range draw(t, days.Options{Seed: 1, Seeds: 20, Only: []string{"serv_grey"}}) {
 		all := slices.Concat(d.Plan, d.Faults)
-		first, last := figure(all[0], "at"), figure(all[len(all)-1], "at")
+		first, last := number(all[0], "at"), number(all[len(all)-1], "at")
 		shape := strings.Split(strings.TrimPrefix(d.Name, strings.ReplaceAll(d.Label, "/", "-")+"-"), "-")[0]
 		ok := map[string]bool{
 			"alone": len(all) == 1, "first": first < 2, "end": first == s.Length-span, "twice": len(all) == 2 && last-first >= span-0.011,
 			"over": len(all) == 2 && last > first && last-first < span, "pair": len(all) == 2,
 		}
-		if good, known := ok[shape]; !good || !known {
-			t.Errorf("%s: %v", d.Name, all)
+		if valid, known := ok[shape]; !valid || !known {
+			t.Errorf("%s: got troubles %v that do not fit the shape", d.Name, all)
 		}
 	}
 }
 
-func TestEntriesTakeTheSitesOwnFigures(t *testing.T) {
+func TestTemplatesUseSiteValues(t *testing.T) {
 	all := draw(t, days.Options{Seed: 1, Shapes: []string{"alone"}})
 	entry := func(label string) days.Trouble {
 		i := slices.IndexFunc(all, func(d days.Day) bool { return d.Label == label })
@@ -225,37 +225,37 @@
 		}
 		return slices.Concat(all[i].Plan, all[i].Faults)[0]
 	}
-	if e := entry("flood"); figure(e, "x") != 1.7 {
-		t.Errorf("the bench has no x for it, the site has: %v", e)
+	if e := entry("flood"); number(e, "x") != 1.7 {
+		t.Errorf("got %v, want the x of the site, since the bench has no default", e)
 	}
-	if e := entry("drop"); e["class"] != "chat" || figure(e, "for_s") > 34.0/3 {
-		t.Errorf("want the site's class, and a third of the day at most: %v", e)
+	if e := entry("drop"); e["class"] != "chat" || number(e, "for_s") > 34.0/3 {
+		t.Errorf("got %v, want the site's class and at most a third of the day", e)
 	}
-	if e := entry("mach_die/chief/again/core"); figure(e, "count") != 1 || e["share"] != nil {
-		t.Errorf("want the site's entry: %v", e)
+	if e := entry("mach_die/chief/again/core"); number(e, "count") != 1 || e["share"] != nil {
+		t.Errorf("got %v, want the site's entry", e)
 	}
-	if e := entry("serv_grey/wide"); e["x"] != nil || figure(e, "share") < 0.2*0.7 || figure(e, "share") > 0.2*1.5+0.01 {
-		t.Errorf("want the bench's own x, and a share around its own: %v", e)
+	if e := entry("serv_grey/wide"); e["x"] != nil || number(e, "share") < 0.2*0.7 || number(e, "share") > 0.2*1.5+0.01 {
+		t.Errorf("got %v, want the x of the bench, and a share close to its default", e)
 	}
 }
 
-func TestPlanHoldsPlannedWork(t *testing.T) {
+func TestPlanHasPlannedWorkOnly(t *testing.T) {
 	for _, d := range draw(t, days.Options{Seed: 1, Planned: []string{"change"}}) {
 		for _, tr := range d.Plan {
 			if tr["kind"] != "leave" && tr["kind"] != "change" {
-				t.Errorf("%s plans %v", d.Name, tr)
+				t.Errorf("%s: got %v in the plan, want planned work only", d.Name, tr)
 			}
 		}
 		for _, tr := range d.Faults {
 			if tr["kind"] == "leave" || tr["kind"] == "change" {
-				t.Errorf("%s has as a fault %v", d.Name, tr)
+				t.Errorf("%s: got %v as a fault, want no planned work", d.Name, tr)
 			}
 		}
 	}
 }
 
 func TestStops(t *testing.T) {
-	const entries, away = 5, 8 + 0.5
+	const entries, downSeconds = 5, 8 + 0.5
 	uneven := 0
 	for _, d := range draw(t, stops) {
 		var halts []days.Trouble
@@ -264,44 +264,44 @@
 				halts = append(halts, tr)
 			}
 		}
-		if len(halts) < 2 || figure(halts[0], "at") < 0.5 || figure(halts[0], "at") > 1.5 {
-			t.Fatalf("%s: want stops from half a second on, and again: %v", d.Name, halts)
+		if len(halts) < 2 || number(halts[0], "at") < 0.5 || number(halts[0], "at") > 1.5 {
+			t.Fatalf("%s: got stops %v, want the first between 0.5 s and 1.5 s, and more", d.Name, halts)
 		}
 		if strings.HasPrefix(d.Label, "stops/groups") {
 			continue
 		}
 		for i, h := range halts {
-			n, gap := int(figure(h, "x")), figure(h, "gap_s")
+			n, gap := int(number(h, "x")), number(h, "gap_s")
 			if n > entries/2 && n < entries && entries-n != n {
 				uneven++
 			}
 			if d.Label == "stops/singly" && (n != 1 || gap < 0.4 || gap > 2) || d.Label == "stops/moment" && n != entries {
-				t.Errorf("%s: %v", d.Name, h)
+				t.Errorf("%s: got stop %v", d.Name, h)
 			}
-			back := figure(h, "at") + float64((entries-1)/n)*gap + away
-			if i+1 < len(halts) && (figure(halts[i+1], "at") < back || figure(halts[i+1], "at") > back+1.02) {
-				t.Errorf("%s: next stop at %g, the last is back at %g", d.Name, figure(halts[i+1], "at"), back)
+			back := number(h, "at") + float64((entries-1)/n)*gap + downSeconds
+			if i+1 < len(halts) && (number(halts[i+1], "at") < back || number(halts[i+1], "at") > back+1.02) {
+				t.Errorf("%s: got the next stop at %g, want it within 1 s after the return at %g", d.Name, number(halts[i+1], "at"), back)
 			}
 		}
 		if d.Label == "stops/beside/leave" && len(d.Plan) != 2*len(halts) || d.Label == "stops/under/flood" && len(d.Faults) != len(halts) {
-			t.Errorf("%s: not one entry beside or over each stop: %v", d.Name, d)
+			t.Errorf("%s: got %v, want one trouble for each stop", d.Name, d)
 		}
 	}
 	if uneven == 0 {
-		t.Error("no groups of unequal size")
+		t.Error("got no groups of unequal size")
 	}
 }
 
-func TestWantedErrors(t *testing.T) {
+func TestDrawErrors(t *testing.T) {
 	s, kinds := site(t)
 	for _, w := range []days.Options{{Seeds: 1, Shapes: []string{"no"}}, {Seeds: 1, Only: []string{"no"}}, {Seeds: 1, Stop: "mach_halt", Under: []string{"no"}}, {}} {
 		if all, err := s.Draw(kinds, w); err == nil {
-			t.Errorf("%+v gave %d days", w, len(all))
+			t.Errorf("%+v: got %d days, want an error", w, len(all))
 		}
 	}
 }
 
-// edited returns the tree of the site file after a deployment.
+// edited returns the decoded site file after a deployment.
 func edited(t *testing.T, site, name string) map[string]any {
 	t.Helper()
 	text, err := days.EditSite([]byte(site), name)
@@ -318,7 +318,7 @@
 	return tree
 }
 
-func TestEditsOfFigures(t *testing.T) {
+func TestDeploymentsScaleNumbers(t *testing.T) {
 	for name, want := range map[string]string{
 		"slow-moves":   "prefill_tokens_per_ms:28.4",
 		"small-memory": "kv_tokens:125", "large-memory": "kv_tokens:8008", "slow-reading": "prefill_tokens_per_ms:14.2", "fast-reading": "prefill_tokens_per_ms:127.8",
@@ -326,7 +326,7 @@
 		"thin-store": "reads_per_s:10 writes_per_s:2",
 	} {
 		if got := fmt.Sprint(edited(t, siteText, name)); !strings.Contains(got, want) {
-			t.Errorf("%s: no %s in %s", name, want, got)
+			t.Errorf("%s: want %s in %s", name, want, got)
 		}
 	}
 }
@@ -338,13 +338,13 @@
 	}
 	for _, name := range days.Deployments() {
 		if fmt.Sprint(edited(t, derivedSite, name)) == fmt.Sprint(before) {
-			t.Errorf("%s changes nothing", name)
+			t.Errorf("%s: got an unchanged site file", name)
 		}
 	}
 }
 
-// A derived deployment is its seed's alone, changes what its name in the first line says,
-// and stays a site file.
+// A derived deployment depends only on its seed, lists its changes in the first line, and is a
+// valid site file.
 func TestDerivedDeployments(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range 40 {
@@ -355,15 +355,15 @@
 		}
 		again, err := days.EditSite([]byte(derivedSite), name)
 		if err != nil || !bytes.Equal(text, again) {
-			t.Errorf("%s: got two texts of one seed (%v)", name, err)
+			t.Errorf("%s: got different texts for one seed (%v)", name, err)
 		}
 		head, rest, _ := strings.Cut(string(text), "\n")
-		said, ok := strings.CutPrefix(head, "# "+name+": ")
-		if got, want := strings.Count(said, ",")+1, 3-2*(seed%2); !ok || got != want {
+		changes, ok := strings.CutPrefix(head, "# "+name+": ")
+		if got, want := strings.Count(changes, ",")+1, 3-2*(seed%2); !ok || got != want {
 			t.Errorf("%s: got %d changes in %q, want %d", name, got, head, want)
 		}
 		if seen[rest] {
-			t.Errorf("%s: got what another seed gave: %s", name, head)
+			t.Errorf("%s: got the same text as for another seed: %s", name, head)
 		}
 		seen[rest] = true
 		if _, err := days.ParseSite(text); err != nil {
@@ -377,7 +377,7 @@
 	}
 }
 
-// derivedSite has all that a derived deployment may change.
+// derivedSite has all parameters that a derived deployment may change.
 var derivedSite = strings.Replace(siteText, "kv_tokens = 1001,", "kv_tokens = 1001, step_ms = 5.55, link_mbps = 370000.0, setup_ms = 4.0, report_lag_ms = 200.0, events_lag_ms = 400.0, batch = 64,", 1) + `
 [[classes]]
 name = "chat"
@@ -391,7 +391,7 @@
 shape = { swing = 0.27 }
 `
 
-func TestEditsOfEntries(t *testing.T) {
+func TestDeploymentsSetEntryCount(t *testing.T) {
 	for name, want := range map[string]int{"one-entry": 1, "twelve-entries": 12} {
 		text, err := days.EditSite([]byte(siteText), name)
 		if err != nil {
@@ -399,10 +399,10 @@
 		}
 		s, err := days.ParseSite(text)
 		if err != nil || s.EntryCount() != want {
-			t.Errorf("%s: %d entries, %v", name, s.EntryCount(), err)
+			t.Errorf("%s: got %d entries, %v", name, s.EntryCount(), err)
 		}
 		if !strings.Contains(fmt.Sprint(s.Machines), "app:llm") {
-			t.Errorf("%s took other machines away: %v", name, s.Machines)
+			t.Errorf("%s: got %v, want the machines with an app unchanged", name, s.Machines)
 		}
 	}
 }
@@ -410,17 +410,17 @@
 func TestOneHall(t *testing.T) {
 	tree := edited(t, siteText, "one-hall")
 	if zones := tree["zones"].([]any); len(zones) != 1 {
-		t.Errorf("zones: %v", zones)
+		t.Errorf("got zones %v, want 1", zones)
 	}
 	if got := fmt.Sprint(tree); strings.Contains(got, "zone:b") || !strings.Contains(got, "zone:a") {
-		t.Errorf("something is still in the other zone: %s", got)
+		t.Errorf("got a reference to the removed zone: %s", got)
 	}
 	if weight := tree["goal"].(map[string]any)["zone"]; weight != 0.0 {
-		t.Errorf("the weight of zones became %v", weight)
+		t.Errorf("got zone weight %v, want it unchanged", weight)
 	}
 }
 
-func TestChangeWritesWhatTheBenchWants(t *testing.T) {
+func TestWriteEditedCopiesBenchFiles(t *testing.T) {
 	from, to := t.TempDir(), t.TempDir()
 	path := filepath.Join(from, "s.toml")
 	write := func(name, text string) {
@@ -431,7 +431,7 @@
 	write("s.toml", siteText)
 	write("wire.json", "{}")
 	if _, err := days.WriteEdited(path, to, []string{"one-entry"}); err == nil {
-		t.Error("no error without CUT beside the site file")
+		t.Error("got no error without CUT next to the site file")
 	}
 	write("CUT", "9 x\n")
 	out, err := days.WriteEdited(path, to, []string{"one-entry", "thin-store"})
@@ -444,12 +444,12 @@
 		}
 	}
 	if _, err := days.WriteEdited(path, to, []string{"no-such"}); err == nil || !strings.Contains(err.Error(), "one-hall") {
-		t.Errorf("want an error that names the deployments: %v", err)
+		t.Errorf("got %v, want an error that names the deployments", err)
 	}
 }
 
 const (
-	keptOut = `built in 0.0 s; 1 lines in 1 files
+	intactOut = `built in 0.0 s; 1 lines in 1 files
 day                  own/srv  score  worth served refused failed  weakest part
 unk                    17/15   1.00  0.929  0.989   0.000  0.013  worst class 0.90; prices 0.046
 `
@@ -460,25 +460,25 @@
 )
 
 func TestParseResult(t *testing.T) {
-	r, err := days.ParseResult(keptOut)
+	r, err := days.ParseResult(intactOut)
 	if want := (days.Result{Worth: 0.929, Served: 0.989, Failed: 0.013}); err != nil || r != want {
-		t.Errorf("%+v, %v; want %+v", r, err, want)
+		t.Errorf("got %+v, %v, want %+v", r, err, want)
 	}
 	r, err = days.ParseResult(brokenOut)
 	if want := (days.Result{Worth: -0.063, Served: 0.985, Refused: 0.006, Failed: 0.009, BrokenRules: "LOST 4, DRAIN 1"}); err != nil || r != want {
-		t.Errorf("%+v, %v; want %+v", r, err, want)
+		t.Errorf("got %+v, %v, want %+v", r, err, want)
 	}
 	r, err = days.ParseResult(strings.Split(brokenOut, "rules broken")[0])
 	if err != nil || r.BrokenRules != "LOST 4" {
-		t.Errorf("by the line of the day alone: %+v, %v", r, err)
+		t.Errorf("without the line of broken rules: got %+v, %v", r, err)
 	}
 	if _, err = days.ParseResult("built in 0.0 s\nbench: the day can't be read\n"); err == nil || !strings.Contains(err.Error(), "can't be read") {
-		t.Errorf("want an error with the last line: %v", err)
+		t.Errorf("got %v, want an error with the last line", err)
 	}
 }
 
-// A program that prints like the bench stands in for it.
-func TestPlayAllKeepsOutputAndSeed(t *testing.T) {
+// A shell script with the bench's output format replaces the bench.
+func TestPlayAllStoresOutputAndPassesSeed(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "bench")
 	script := "#!/bin/sh\ncase $3 in *flood-alone-2*) echo 'given up'; exit 1;; esac\necho \"$@\"\ncat <<'E'\n" + brokenOut + "E\n"
@@ -496,24 +496,24 @@
 	}
 }
 
-func TestTell(t *testing.T) {
+func TestWriteReport(t *testing.T) {
 	day := func(label string, r days.Result, err error) days.PlayedDay {
 		return days.PlayedDay{Day: days.Day{Label: label, Seed: 5}, Path: "d.toml", Result: r, Err: err}
 	}
-	kept, lost := day("b", days.Result{Worth: 0.5}, nil), day("c", days.Result{}, errors.New("given up"))
+	intact, unplayed := day("b", days.Result{Worth: 0.5}, nil), day("c", days.Result{}, errors.New("given up"))
 	bad := day("a", days.Result{Worth: 0.25, BrokenRules: "LOST 4"}, nil)
 	for _, tc := range []struct {
 		plays  []days.PlayedDay
 		broken bool
 		ok     bool
-	}{{[]days.PlayedDay{kept}, false, true}, {[]days.PlayedDay{kept, lost}, false, false}, {[]days.PlayedDay{kept, bad, lost}, true, false}} {
+	}{{[]days.PlayedDay{intact}, false, true}, {[]days.PlayedDay{intact, unplayed}, false, false}, {[]days.PlayedDay{intact, bad, unplayed}, true, false}} {
 		var b bytes.Buffer
 		err := days.WriteReport(&b, tc.plays, "bench run s.toml")
 		if errors.Is(err, days.ErrRulesBroken) != tc.broken || (err == nil) != tc.ok {
 			t.Errorf("%v: %s", err, b.String())
 		}
 		if tc.broken && !(strings.Contains(b.String(), "LOST 4: bench run s.toml d.toml --no-cpu --seed 5") && strings.Contains(b.String(), "given up") && strings.Contains(b.String(), "2      1  0.375")) {
-			t.Errorf("not told how to play it again, or not what was given up, or a wrong mean:\n%s", b.String())
+			t.Errorf("want the command that runs the day again, the reason of the day without a result, and the mean 0.375:\n%s", b.String())
 		}
 	}
 }
--- a/internal/days/deploy.go
+++ b/internal/days/deploy.go
@@ -11,10 +11,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
+// tree is a decoded TOML table.
 type tree = map[string]any
 
-// deployments are edits of a site file by name. An eighth or eight times the
-// memory and a third or three times the speed lie beyond what sites have.
+// deployments are edits of a site file by name. The factors of 8 for the memory and of 3 for
+// the speed exceed the range of real sites.
 var deployments = map[string]func(tree){
 	"small-memory": func(t tree) { scale(t["services"], 1.0/8, "kv_tokens") },
 	"large-memory": func(t tree) { scale(t["services"], 8, "kv_tokens") },
@@ -23,43 +24,43 @@
 	"slow-moves": func(t tree) {
 		scale(t["services"], 1.0/20, "link_mbps")
 		scale(t["services"], 2.0/3, "prefill_tokens_per_ms")
-		chats(t, 3)
+		scaleChats(t, 3)
 	},
-	"long-prompts":     func(t tree) { length(t, 3, nil) },
+	"long-prompts":     func(t tree) { scalePrompts(t, 3, nil) },
 	"few-connections":  func(t tree) { scale(t["services"], 0.25, "conn_cap") },
 	"many-connections": func(t tree) { scale(t["services"], 4, "conn_cap") },
 	"short-bounds":     func(t tree) { scale(t["bounds"], 0.75, "drain_ms", "config_ms", "grace_s") },
 	"long-bounds":      func(t tree) { scale(t["bounds"], 2, "drain_ms", "config_ms", "grace_s") },
 	"thin-store":       func(t tree) { scale(t["platform"], 1.0/200, "writes_per_s", "reads_per_s") },
-	"one-hall":         oneHall,
-	"one-entry":        func(t tree) { entries(t, 1) },
-	"twelve-entries":   func(t tree) { entries(t, 12) },
+	"one-hall":         mergeZones,
+	"one-entry":        func(t tree) { setEntryCount(t, 1) },
+	"twelve-entries":   func(t tree) { setEntryCount(t, 12) },
 }
 
-// Deployments returns the names of the edits.
+// Deployments returns the sorted names of the deployments.
 func Deployments() []string { return slices.Sorted(maps.Keys(deployments)) }
 
-// EditSite applies a deployment to the text of a site file.
+// EditSite applies a deployment to the contents of a site file. It fails if the name is unknown.
 func EditSite(text []byte, name string) ([]byte, error) {
-	change, t := deployments[name], tree{}
+	edit, t := deployments[name], tree{}
 	seed, derived := derivedSeed(name)
-	if change == nil && !derived {
-		return nil, fmt.Errorf("no deployment %q; there are %s and %sSEED", name, Deployments(), derivedPrefix)
+	if edit == nil && !derived {
+		return nil, fmt.Errorf("unknown deployment %q; the deployments are %s and %sSEED", name, Deployments(), derivedPrefix)
 	}
 	if err := toml.Unmarshal(text, &t); err != nil {
 		return nil, fmt.Errorf("site file: %w", err)
 	}
 	if derived {
-		did := derive(t, seed)
+		changes := derive(t, seed)
 		out, err := toml.Marshal(t)
-		return append([]byte("# "+name+": "+did+"\n"), out...), err
+		return append([]byte("# "+name+": "+changes+"\n"), out...), err
 	}
-	change(t)
+	edit(t)
 	return toml.Marshal(t)
 }
 
-// WriteEdited applies deployments to a site file, and writes the new one with what
-// the bench wants beside it into dir.
+// WriteEdited applies deployments to a site file and writes the result into dir, with the files
+// that the bench needs next to it. It returns the path of the new site file.
 func WriteEdited(path, dir string, names []string) (string, error) {
 	base := filepath.Base(path)
 	for _, file := range []string{base, "wire.json", "CUT"} {
@@ -71,13 +72,13 @@
 			err = os.WriteFile(filepath.Join(dir, file), text, 0o644)
 		}
 		if err != nil {
-			return "", fmt.Errorf("site file with wire.json and CUT beside it: %w", err)
+			return "", fmt.Errorf("copying the site file, and wire.json and CUT from its directory: %w", err)
 		}
 	}
 	return filepath.Join(dir, base), nil
 }
 
-// walk visits each table below a node.
+// walk visits a node and all nodes below it that are tables.
 func walk(node any, visit func(tree)) {
 	switch node := node.(type) {
 	case []any:
@@ -92,23 +93,23 @@
 	}
 }
 
-// scale multiplies all figures of these names below a node; whole ones stay
-// whole and 1 at least.
-func scale(node any, by float64, names ...string) {
+// scale multiplies all numbers of these names at or below a node. Integers stay integers and are
+// at least 1.
+func scale(node any, factor float64, names ...string) {
 	walk(node, func(t tree) {
 		for _, name := range names {
 			switch v := t[name].(type) {
 			case int64:
-				t[name] = max(1, int64(math.Round(float64(v)*by)))
+				t[name] = max(1, int64(math.Round(float64(v)*factor)))
 			case float64:
-				t[name] = v * by
+				t[name] = v * factor
 			}
 		}
 	})
 }
 
-// oneHall puts all that is in a zone into the first.
-func oneHall(t tree) {
+// mergeZones moves everything to the first zone.
+func mergeZones(t tree) {
 	zones, _ := t["zones"].([]any)
 	first := zones[:min(1, len(zones))]
 	t["zones"] = first
@@ -123,17 +124,17 @@
 	})
 }
 
-// entries spreads so many evenly over the machines without an app; a group that
-// gets none goes, with its spare ones.
-func entries(t tree, count int) {
-	var own []tree
+// setEntryCount distributes the entries evenly over the machine groups without an app. It removes
+// groups without entries, with their spare machines.
+func setEntryCount(t tree, count int) {
+	var groups []tree
 	walk(t["machines"], func(m tree) {
 		if m["app"] == nil {
-			own = append(own, m)
+			groups = append(groups, m)
 		}
 	})
-	for i, m := range own {
-		m["count"] = (count + len(own) - 1 - i) / len(own)
+	for i, m := range groups {
+		m["count"] = (count + len(groups) - 1 - i) / len(groups)
 	}
 	all, _ := t["machines"].([]any)
 	t["machines"] = slices.DeleteFunc(all, func(m any) bool { return m.(tree)["count"] == 0 })
--- a/internal/days/derive.go
+++ b/internal/days/derive.go
@@ -8,65 +8,65 @@
 	"strings"
 )
 
-// derivedPrefix begins the names of derived deployments; a seed follows it.
+// derivedPrefix is the prefix of the names of derived deployments. A seed follows.
 const derivedPrefix = "derived-"
 
-// aspect is one thing about engines or callers that a derived deployment changes.
-type aspect struct {
+// parameter is a property of engines or callers that a derived deployment changes.
+type parameter struct {
 	name string
-	// low and high bound the factor by which it changes.
-	low, high float64
-	apply     func(t tree, by float64, rng *rand.Rand)
+	// minFactor and maxFactor limit the factor of the change.
+	minFactor, maxFactor float64
+	apply                func(t tree, factor float64, rng *rand.Rand)
 }
 
-// scaled returns what scales figures of these names below a part of the site file.
-func scaled(part string, names ...string) func(tree, float64, *rand.Rand) {
-	return func(t tree, by float64, _ *rand.Rand) { scale(t[part], by, names...) }
+// scaler returns a function that scales the numbers of these names in a section of the site file.
+func scaler(section string, names ...string) func(tree, float64, *rand.Rand) {
+	return func(t tree, factor float64, _ *rand.Rand) { scale(t[section], factor, names...) }
 }
 
-// aspects are what engines can do, then what callers ask.
-var aspects = []aspect{
-	{"reading", 0.35, 3, scaled("services", "prefill_tokens_per_ms")},
-	{"step", 0.5, 3, scaled("services", "step_ms")},
-	{"move", 0.03, 3, scaled("services", "link_mbps")},
-	{"setup", 0.25, 50, scaled("services", "setup_ms")},
-	{"memory", 0.125, 8, scaled("services", "kv_tokens")},
-	{"slots", 0.35, 2, func(t tree, by float64, _ *rand.Rand) { models(t, by, "slots", "queue", "batch") }},
-	{"reports", 2, 8, scaled("services", "report_lag_ms", "events_lag_ms")},
-	{"mix", 0.3, 3, mix},
-	{"length", 0.35, 3, length},
-	{"heat", 0.2, 4, func(t tree, by float64, _ *rand.Rand) { scale(t, by, "skew") }},
-	{"chats", 0.25, 4, func(t tree, by float64, _ *rand.Rand) { chats(t, by) }},
-	{"hours", 1.5, 3, func(t tree, by float64, _ *rand.Rand) { hours(t, by) }},
+// parameters has the properties of engines first, then those of the traffic.
+var parameters = []parameter{
+	{"reading", 0.35, 3, scaler("services", "prefill_tokens_per_ms")},
+	{"step", 0.5, 3, scaler("services", "step_ms")},
+	{"move", 0.03, 3, scaler("services", "link_mbps")},
+	{"setup", 0.25, 50, scaler("services", "setup_ms")},
+	{"memory", 0.125, 8, scaler("services", "kv_tokens")},
+	{"slots", 0.35, 2, func(t tree, factor float64, _ *rand.Rand) { scaleModels(t, factor, "slots", "queue", "batch") }},
+	{"reports", 2, 8, scaler("services", "report_lag_ms", "events_lag_ms")},
+	{"mix", 0.3, 3, scaleMix},
+	{"length", 0.35, 3, scalePrompts},
+	{"heat", 0.2, 4, func(t tree, factor float64, _ *rand.Rand) { scale(t, factor, "skew") }},
+	{"chats", 0.25, 4, func(t tree, factor float64, _ *rand.Rand) { scaleChats(t, factor) }},
+	{"hours", 1.5, 3, func(t tree, factor float64, _ *rand.Rand) { scaleSwing(t, factor) }},
 }
 
-// leastChange is how far a drawn factor lies from 1 at least, as a factor itself.
-const leastChange = 1.5
+// minChange is the least change by a factor, up or down.
+const minChange = 1.5
 
-// derive changes a site file by what a seed draws: one aspect for an odd seed, three at
-// once for an even one. It returns what it changed and by which factors.
+// derive changes one parameter of a site file for an odd seed and three for an even seed, both
+// drawn from the seed. It returns the parameters with their factors.
 func derive(t tree, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	n := 1
 	if seed%2 == 0 {
 		n = 3
 	}
-	var did []string
-	for _, i := range rng.Perm(len(aspects))[:n] {
-		a := aspects[i]
-		by := a.factor(rng)
-		a.apply(t, by, rng)
-		did = append(did, fmt.Sprintf("%s x%.2g", a.name, by))
+	var changes []string
+	for _, i := range rng.Perm(len(parameters))[:n] {
+		p := parameters[i]
+		factor := p.drawFactor(rng)
+		p.apply(t, factor, rng)
+		changes = append(changes, fmt.Sprintf("%s x%.2g", p.name, factor))
 	}
-	return strings.Join(did, ", ")
+	return strings.Join(changes, ", ")
 }
 
-// factor draws a factor evenly by its logarithm, but none near 1.
-func (a aspect) factor(rng *rand.Rand) float64 {
+// drawFactor draws a factor whose logarithm is uniformly distributed, but none close to 1.
+func (p parameter) drawFactor(rng *rand.Rand) float64 {
 	for {
-		by := a.low * math.Pow(a.high/a.low, rng.Float64())
-		if max(by, 1/by) >= leastChange {
-			return by
+		factor := p.minFactor * math.Pow(p.maxFactor/p.minFactor, rng.Float64())
+		if max(factor, 1/factor) >= minChange {
+			return factor
 		}
 	}
 }
@@ -81,22 +81,22 @@
 	return seed, err == nil
 }
 
-// models scales figures of the services that have model engines, and of these engines.
-func models(t tree, by float64, names ...string) {
+// scaleModels scales numbers of the services with model engines, and of these engines.
+func scaleModels(t tree, factor float64, names ...string) {
 	walk(t["services"], func(s tree) {
 		if s["llm"] != nil {
-			scale(s, by, names...)
+			scale(s, factor, names...)
 		}
 	})
 }
 
-// mix gives each kind of request a weight of its own in each traffic, by to 1/by of what
-// it had.
-func mix(t tree, by float64, rng *rand.Rand) {
+// scaleMix scales the weight of each class in all traffic by a factor of its own, between factor
+// and 1/factor.
+func scaleMix(t tree, factor float64, rng *rand.Rand) {
 	weights := map[string]float64{}
 	walk(t["classes"], func(c tree) {
 		if name, ok := c["name"].(string); ok {
-			weights[name] = math.Pow(by, 2*rng.Float64()-1)
+			weights[name] = math.Pow(factor, 2*rng.Float64()-1)
 		}
 	})
 	walk(t, func(traffic tree) {
@@ -107,34 +107,34 @@
 	})
 }
 
-// length scales the parts of prompts, not how much is written.
-func length(t tree, by float64, _ *rand.Rand) {
+// scalePrompts scales the lengths of prompts, but not of responses.
+func scalePrompts(t tree, factor float64, _ *rand.Rand) {
 	walk(t["classes"], func(c tree) {
 		for _, part := range []string{"prompt_tokens", "tokens"} {
-			if figures, ok := c[part].(tree); ok {
-				scale(figures, by, "mean", "max")
+			if lengths, ok := c[part].(tree); ok {
+				scale(lengths, factor, "mean", "max")
 			}
 		}
 	})
 }
 
-// chats scales how many of them each kind of request has.
-func chats(t tree, by float64) {
+// scaleChats scales the number of chats of each class.
+func scaleChats(t tree, factor float64) {
 	walk(t["classes"], func(c tree) {
 		if v, ok := c["things"].(int64); ok && (c["stream"] != nil || c["own"] != nil) {
-			c["things"] = max(1, int64(math.Round(float64(v)*by)))
+			c["things"] = max(1, int64(math.Round(float64(v)*factor)))
 		}
 	})
 }
 
-// mostSwing is the largest part by which traffic may swing.
-const mostSwing = 0.8
+// maxSwing is the maximum relative swing of traffic.
+const maxSwing = 0.8
 
-// hours scales how far the traffic swings.
-func hours(t tree, by float64) {
+// scaleSwing scales the swing of traffic over the day.
+func scaleSwing(t tree, factor float64) {
 	walk(t, func(shape tree) {
 		if v, ok := shape["swing"].(float64); ok {
-			shape["swing"] = min(mostSwing, v*by)
+			shape["swing"] = min(maxSwing, v*factor)
 		}
 	})
 }
--- a/internal/days/play.go
+++ b/internal/days/play.go
@@ -16,45 +16,45 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ErrRulesBroken says that days were played and a rule was broken.
+// ErrRulesBroken is returned if days were run and a rule was broken.
 var ErrRulesBroken = errors.New("rules were broken")
 
-// Result is what the bench says of a day that it played.
+// Result is the bench's result of a day.
 type Result struct {
-	// Worth, Served, Refused and Failed are shares of 1; Worth may fall below 0.
+	// Worth, Served, Refused and Failed are fractions of 1. Worth may be negative.
 	Worth, Served, Refused, Failed float64
-	// BrokenRules names the broken rules as the bench does; empty if all were kept.
+	// BrokenRules has the broken rules as printed by the bench, "" for none.
 	BrokenRules string
 }
 
 var (
-	dayLine = regexp.MustCompile(`(?m)^\S+ +\d+/\d+ +\S+ +(-?[0-9.]+) +([0-9.]+) +([0-9.]+) +([0-9.]+)(?: +.*?(?:BROKEN: (.*?)(?: \(else .*)?)?)?$`)
-	broken  = regexp.MustCompile(`(?m)^rules broken: (.*)$`)
+	resultLine      = regexp.MustCompile(`(?m)^\S+ +\d+/\d+ +\S+ +(-?[0-9.]+) +([0-9.]+) +([0-9.]+) +([0-9.]+)(?: +.*?(?:BROKEN: (.*?)(?: \(else .*)?)?)?$`)
+	brokenRulesLine = regexp.MustCompile(`(?m)^rules broken: (.*)$`)
 )
 
-// ParseResult reads the output of one run.
+// ParseResult parses the output of one run. It fails if there is no result line.
 func ParseResult(out string) (r Result, err error) {
-	m := dayLine.FindStringSubmatch(out)
+	m := resultLine.FindStringSubmatch(out)
 	if m == nil {
 		lines := strings.Split(strings.TrimSpace(out), "\n")
-		return r, fmt.Errorf("no line of the day; the last line is %q", lines[len(lines)-1])
+		return r, fmt.Errorf("no result line; the last line is %q", lines[len(lines)-1])
 	}
 	for i, v := range []*float64{&r.Worth, &r.Served, &r.Refused, &r.Failed} {
 		if *v, err = strconv.ParseFloat(m[1+i], 64); err != nil {
-			return r, fmt.Errorf("line of the day: %w", err)
+			return r, fmt.Errorf("result line: %w", err)
 		}
 	}
 	r.BrokenRules = m[5]
-	if b := broken.FindStringSubmatch(out); b != nil {
+	if b := brokenRulesLine.FindStringSubmatch(out); b != nil {
 		r.BrokenRules = b[1]
 	}
 	return r, nil
 }
 
-// Bench is the program that plays days on the code in the working directory.
+// Bench is the path of the program that runs days with the code in the working directory.
 type Bench string
 
-// Kinds asks which kinds of trouble a site may have.
+// Kinds returns the kinds of trouble that a site may have.
 func (b Bench) Kinds(ctx context.Context, site string) ([]Kind, error) {
 	out, err := exec.CommandContext(ctx, string(b), "kinds", site).CombinedOutput()
 	if err != nil {
@@ -63,17 +63,17 @@
 	return ParseKinds(string(out))
 }
 
-// PlayedDay is a day with what became of it.
+// PlayedDay is a day with its result.
 type PlayedDay struct {
 	Day
 	Result
-	// Path is that of the day file; the output lies beside it.
+	// Path is the path of the day file. The output is stored next to it.
 	Path string
-	// Err says why the day was not judged.
+	// Err is the reason why the day has no result.
 	Err error
 }
 
-// PlayAll plays days whose files lie in dir, some at once.
+// PlayAll runs the days, whose files are in dir, with the given number of jobs in parallel.
 func (b Bench) PlayAll(ctx context.Context, site, dir string, all []Day, jobs int, why string) []PlayedDay {
 	plays := make([]PlayedDay, len(all))
 	var g errgroup.Group
@@ -84,31 +84,32 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // none returns an error: each is kept with its day
+	_ = g.Wait() // errors are in PlayedDay.Err
 	return plays
 }
 
 func (b Bench) play(ctx context.Context, site string, d Day, path, why string) PlayedDay {
 	cmd := exec.CommandContext(ctx, string(b), "run", site, path, "--no-cpu", "--jobs", "1", "--seed", strconv.FormatUint(d.Seed, 10), "--why", why+": "+d.Name)
-	out, failed := cmd.CombinedOutput()
-	p, kept := PlayedDay{Day: d, Path: path}, path+".out"
+	out, runErr := cmd.CombinedOutput()
+	p, outPath := PlayedDay{Day: d, Path: path}, path+".out"
 	if p.Result, p.Err = ParseResult(string(out)); p.Err != nil {
-		p.Err = fmt.Errorf("%s: %w (run: %v); see %s, or play fewer at once", path, p.Err, failed, kept)
+		p.Err = fmt.Errorf("%s: %w (run: %v); see %s, or use fewer --jobs", path, p.Err, runErr, outPath)
 	}
-	if err := os.WriteFile(kept, out, 0o644); err != nil {
+	if err := os.WriteFile(outPath, out, 0o644); err != nil {
 		p.Err = err
 	}
 	return p
 }
 
-// row adds up the days of one label.
+// row is the sum of the days of a label.
 type row struct {
 	Result
 	days, broken int
 }
 
-// WriteReport prints each broken or unplayed day, with the run that plays it again,
-// then a table with a row for each label. Its error says if there was any.
+// WriteReport prints each day that broke a rule, with the command that runs it again, and each
+// day without a result. A table with a row for each label follows. It returns an error if there
+// was any such day.
 func WriteReport(w io.Writer, plays []PlayedDay, run string) error {
 	all, rows, unplayed := row{}, map[string]*row{}, 0
 	for _, p := range plays {
@@ -146,7 +147,7 @@
 	r.Worth, r.Served, r.Refused, r.Failed = r.Worth+o.Worth, r.Served+o.Served, r.Refused+o.Refused, r.Failed+o.Failed
 }
 
-// String returns the sums of days and the means of the rest.
+// String returns the numbers of days and the means of the results.
 func (r *row) String() string {
 	n := float64(max(1, r.days))
 	return fmt.Sprintf("%5d %6d %6.3f %6.3f %7.3f %6.3f", r.days, r.broken, r.Worth/n, r.Served/n, r.Refused/n, r.Failed/n)
--- a/internal/days/playdays/main.go
+++ b/internal/days/playdays/main.go
@@ -1,6 +1,5 @@
-// Playdays writes days for the users' bench from seeds, has the bench play them
-// and prints what they came to. It exits with 1 if a rule was broken, with 2 if
-// days could not be written or played.
+// Playdays generates days for the users' bench from seeds, has the bench run them and prints the
+// results. It exits with 1 if a rule was broken, and with 2 if days could not be written or run.
 package main
 
 import (
@@ -17,13 +16,13 @@
 )
 
 type args struct {
-	Bench  days.Bench `arg:"positional,required" help:"path of the bench; run this from the root of the code that it is to play"`
+	Bench  days.Bench `arg:"positional,required" help:"path of the bench; run this in the root of the code under test"`
 	Site   string     `arg:"positional,required" help:"path of a site file"`
-	Dir    string     `arg:"--dir,required" help:"folder for day files, output and a changed site file"`
-	Deploy []string   `arg:"--deploy" help:"odd deployments: edits of the site file, applied in order"`
-	Jobs   int        `arg:"--jobs" default:"2" help:"days that are played at once"`
-	Why    string     `arg:"--why" default:"Days of our own" help:"line for the journal"`
-	List   bool       `arg:"--list" help:"write the days, play none"`
+	Dir    string     `arg:"--dir,required" help:"directory for day files, output and an edited site file"`
+	Deploy []string   `arg:"--deploy" help:"unusual deployments: edits of the site file, applied in order"`
+	Jobs   int        `arg:"--jobs" default:"2" help:"days to run in parallel"`
+	Why    string     `arg:"--why" default:"Days of our own" help:"text for the journal"`
+	List   bool       `arg:"--list" help:"write the days, but do not run them"`
 	days.Options
 }
 
--- a/internal/days/site.go
+++ b/internal/days/site.go
@@ -7,15 +7,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// minLength is the shortest day in seconds: two troubles of the usual 5 s after
-// each other and as much again around them.
+// minLength is the minimum length of a day in seconds: two consecutive troubles of the default 5 s,
+// and as much time before and after them.
 const minLength = 20.0
 
-// Trouble is one entry of a day by the bench's own fields; what it lacks is left
-// to the bench. Its at counts from the start of traffic, after the lead.
+// Trouble is an entry of a day, with the fields of the bench. The bench has defaults for missing
+// fields. The field at counts from the start of traffic, after the lead.
 type Trouble map[string]any
 
-// num returns a figure of the entry, 0 if it lacks it.
+// num returns a number of the entry, 0 if it is missing.
 func (t Trouble) num(field string) float64 {
 	if n, ok := t[field].(int64); ok {
 		return float64(n)
@@ -24,36 +24,37 @@
 	return n
 }
 
+// text returns a string of the entry, "" if it is missing.
 func (t Trouble) text(field string) string {
 	s, _ := t[field].(string)
 	return s
 }
 
-// Site is what a site file says that days depend on.
+// Site has the settings of a site file that days depend on.
 type Site struct {
-	// Length is the seconds of traffic in a day, minLength at least; Lead is
-	// those before it, in which the fleet starts.
+	// Length is the seconds of traffic in a day, at least minLength. Lead is the seconds
+	// before, in which the fleet starts.
 	Length float64 `toml:"length_s"`
 	Lead   float64 `toml:"lead_s"`
-	// Bounds.Grace is for how long a stopped process may finish, in seconds.
+	// Bounds.Grace is the grace period of a stopped process in seconds.
 	Bounds struct {
 		Grace float64 `toml:"grace_s"`
 	} `toml:"bounds"`
 	Machines []Trouble `toml:"machines"`
 	Troubles []Trouble `toml:"troubles"`
 	Days     []Day     `toml:"day"`
-	// Planned are the kinds of planned work: those under plan in Days, and what
-	// is added.
+	// Planned has the kinds of planned work: those in the plans of Days, and
+	// Options.Planned.
 	Planned []string `toml:"-"`
 }
 
-// ParseSite reads the text of a site file.
+// ParseSite parses a site file. It fails if a required setting is missing or out of range.
 func ParseSite(text []byte) (s Site, err error) {
 	if err := toml.Unmarshal(text, &s); err != nil {
 		return s, fmt.Errorf("site file: %w", err)
 	}
 	if s.Length < minLength || s.Lead < 0 || s.Bounds.Grace <= 0 || s.EntryCount() < 1 {
-		return s, fmt.Errorf("site file: length_s %g (%g at least), lead_s %g, bounds.grace_s %g, %d machines without app; give a site file of the bench", s.Length, minLength, s.Lead, s.Bounds.Grace, s.EntryCount())
+		return s, fmt.Errorf("site file: length_s %g (%g at least), lead_s %g, bounds.grace_s %g, %d machines without app; pass a site file of the bench", s.Length, minLength, s.Lead, s.Bounds.Grace, s.EntryCount())
 	}
 	for _, d := range s.Days {
 		s.Troubles = slices.Concat(s.Troubles, d.Plan, d.Faults)
@@ -64,7 +65,7 @@
 	return s, nil
 }
 
-// EntryCount returns the number of entry machines: those that stand by no app.
+// EntryCount returns the number of entry machines, which are those without an app.
 func (s Site) EntryCount() (n int) {
 	for _, m := range s.Machines {
 		if m["app"] == nil {
--- a/internal/days/stops.go
+++ b/internal/days/stops.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// firstStop is the earliest second of traffic with a stop: a process has
-	// then served few answers.
-	firstStop = 0.5
-	// shortGap and longGap are the seconds between stops one by one: less than
-	// the return of a process takes, so that several are away at once.
-	shortGap, longGap = 0.4, 2.0
-	// restart is for how many seconds after its grace the bench keeps a stopped
-	// process away, by the times that it prints.
-	restart = 0.5
+	// firstStopAt is the earliest second of traffic with a stop. A process has then
+	// served few requests.
+	firstStopAt = 0.5
+	// minGap and maxGap limit the seconds between single stops. A process takes longer
+	// to return, so several are down at once.
+	minGap, maxGap = 0.4, 2.0
+	// restartSeconds is how long the bench keeps a stopped process down after its grace
+	// period, according to its output.
+	restartSeconds = 0.5
 )
 
-// stops returns the days of planned stops for a seed, none if no kind that
-// stops entries is named. What is wanted beside comes while some are away, what
-// is wanted under them lasts meanwhile.
-func (s Site) stops(w Options, variants []Template, seed uint64) (all []Day, err error) {
+// stops returns the days of planned stops for a seed, none without w.Stop. Troubles of the kinds
+// in w.Beside occur while some entries are down, those in w.Under last throughout the stops.
+func (s Site) stops(w Options, templates []Template, seed uint64) (all []Day, err error) {
 	if w.Stop == "" {
 		return nil, nil
 	}
 	s.Planned = append(slices.Clone(s.Planned), w.Stop)
 	n := s.EntryCount()
-	uneven := func(r *rand.Rand) int { return min(n, n/2+1+r.IntN(n/2+1)) }
-	singly := func(*rand.Rand) int { return 1 }
-	moment := func(*rand.Rand) int { return n }
+	// More than half of the entries in a group give groups of unequal size.
+	majority := func(r *rand.Rand) int { return min(n, n/2+1+r.IntN(n/2+1)) }
+	single := func(*rand.Rand) int { return 1 }
+	everyEntry := func(*rand.Rand) int { return n }
 	add := func(label string, draw func(*rand.Rand) []Trouble) {
-		all = append(all, s.day("stops/"+label, "day", seed, draw(source(seed, label))))
+		all = append(all, s.newDay("stops/"+label, "day", seed, draw(newRand(seed, label))))
 	}
 	add("groups", func(r *rand.Rand) []Trouble { return s.groups(r, w.Stop) })
-	add("again", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, uneven) })
-	add("singly", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, singly) })
-	add("moment", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, moment) })
+	add("again", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, majority) })
+	add("singly", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, single) })
+	add("moment", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, everyEntry) })
 	for i, name := range slices.Concat(w.Beside, w.Under) {
-		at := slices.IndexFunc(variants, func(v Template) bool { return v.entry["kind"] == name })
+		at := slices.IndexFunc(templates, func(tmpl Template) bool { return tmpl.entry["kind"] == name })
 		if at < 0 {
-			return nil, fmt.Errorf("stops: the bench has no kind %q for this site; its verb kinds names them", name)
+			return nil, fmt.Errorf("stops: the bench has no kind %q for this site; list the kinds with its subcommand kinds", name)
 		}
-		place, label := s.away, "beside/"+name
+		schedule, label := s.duringAbsence, "beside/"+name
 		if i >= len(w.Beside) {
-			place, label = s.over, "under/"+name
+			schedule, label = s.throughoutStop, "under/"+name
 		}
 		add(label, func(r *rand.Rand) []Trouble {
-			stops := s.series(r, w.Stop, uneven)
+			stops := s.series(r, w.Stop, majority)
 			for _, t := range stops {
-				stops = append(stops, place(r, variants[at], t.num("at")))
+				stops = append(stops, schedule(r, templates[at], t.num("at")))
 			}
 			return stops
 		})
@@ -57,26 +57,27 @@
 	return all, nil
 }
 
-// away lays an entry into the absence after a stop.
-func (s Site) away(r *rand.Rand, v Template, stop float64) Trouble {
-	return s.at(r, v, stop+between(r, 0, s.Bounds.Grace/2))
+// duringAbsence returns a trouble at a random time while the processes of a stop are down.
+func (s Site) duringAbsence(r *rand.Rand, tmpl Template, stop float64) Trouble {
+	return s.schedule(r, tmpl, stop+uniform(r, 0, s.Bounds.Grace/2))
 }
 
-// over lays an entry over a stop, from before it until most are back.
-func (s Site) over(r *rand.Rand, v Template, stop float64) Trouble {
-	t := s.at(r, v, 0)
-	at := hundredths(max(0, stop-r.Float64()))
-	t["at"], t["for_s"] = at, hundredths(min(s.Bounds.Grace, s.Length-at))
+// throughoutStop returns a trouble that lasts from just before a stop until most processes are
+// back.
+func (s Site) throughoutStop(r *rand.Rand, tmpl Template, stop float64) Trouble {
+	t := s.schedule(r, tmpl, 0)
+	at := round2(max(0, stop-r.Float64()))
+	t["at"], t["for_s"] = at, round2(min(s.Bounds.Grace, s.Length-at))
 	return t
 }
 
-// series stops all, size at a time, and again right after the return of the
-// last, until the day is full.
+// series returns stops of all entries, size at a time. Each stop starts right after the last
+// process of the previous one has returned, until the end of the day.
 func (s Site) series(r *rand.Rand, kind string, size func(*rand.Rand) int) (all []Trouble) {
-	for at := firstStop + r.Float64(); ; at += between(r, 0.1, 1) {
-		n, gap := size(r), hundredths(between(r, shortGap, longGap))
-		t := Trouble{"at": hundredths(at), "kind": kind, "share": 1.0, "x": float64(n), "gap_s": gap}
-		at += float64((s.EntryCount()-1)/n)*gap + s.Bounds.Grace + restart
+	for at := firstStopAt + r.Float64(); ; at += uniform(r, 0.1, 1) {
+		n, gap := size(r), round2(uniform(r, minGap, maxGap))
+		t := Trouble{"at": round2(at), "kind": kind, "share": 1.0, "x": float64(n), "gap_s": gap}
+		at += float64((s.EntryCount()-1)/n)*gap + s.Bounds.Grace + restartSeconds
 		if at > s.Length && len(all) > 0 {
 			return all
 		}
@@ -84,16 +85,16 @@
 	}
 }
 
-// groups stops groups of drawn sizes shortly after each other, as many as there
-// are entries, and again after the return. The bench picks who is in a group, so
-// that one may be stopped as soon as it is back.
+// groups returns stops of groups of random sizes in quick succession, as many processes in total
+// as there are entries, and again after their return. The bench chooses the processes of a
+// group, so that a process may be stopped as soon as it is back.
 func (s Site) groups(r *rand.Rand, kind string) (all []Trouble) {
 	last := s.Length - s.Bounds.Grace
-	for at := firstStop; at <= last; at += s.Bounds.Grace + restart + r.Float64() {
-		for left := s.EntryCount(); left > 0 && at <= last; at += between(r, shortGap, longGap) {
-			size := 1 + r.IntN(left)
-			left -= size
-			all = append(all, Trouble{"at": hundredths(at), "kind": kind, "count": size, "x": float64(size)})
+	for at := firstStopAt; at <= last; at += s.Bounds.Grace + restartSeconds + r.Float64() {
+		for remaining := s.EntryCount(); remaining > 0 && at <= last; at += uniform(r, minGap, maxGap) {
+			size := 1 + r.IntN(remaining)
+			remaining -= size
+			all = append(all, Trouble{"at": round2(at), "kind": kind, "count": size, "x": float64(size)})
 		}
 	}
 	return all
