--- a/commands/demo.go
+++ b/commands/demo.go
@@ -60,7 +60,7 @@
 	demoSlots              = 16
 	demoCacheTokens        = 400_000
 	demoPrefillTokensPerMS = 50
-	demoTokenGap           = clock.Millis(5)
+	demoTokenInterval      = clock.Millis(5)
 	demoResponseTokens     = 24
 	demoReportLag          = clock.Millis(2000)
 )
@@ -168,7 +168,7 @@
 	for i := range c.Engines {
 		id := fmt.Sprintf("%s-engine-%d", d.partner, i)
 		h := engine.New(engine.Config{
-			ID: id, Slots: demoSlots, CacheTokens: demoCacheTokens, PrefillTokensPerMS: demoPrefillTokensPerMS, TokenInterval: demoTokenGap,
+			ID: id, Slots: demoSlots, CacheTokens: demoCacheTokens, PrefillTokensPerMS: demoPrefillTokensPerMS, TokenInterval: demoTokenInterval,
 			Tokens: demoResponseTokens, ReportLag: demoReportLag, DropEveryNthEvent: 17, Clock: f.clk,
 		})
 		if err := f.startTarget(d, id, d.pool, d.halls[i%len(d.halls)], h); err != nil {
--- a/commands/gate.go
+++ b/commands/gate.go
@@ -44,46 +44,46 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	boot, err := platform.LoadSettings()
+	cfg, err := platform.LoadSettings()
 	if err != nil {
 		return usageError{err}
 	}
 	w := logline.NewWriter(out)
 	defer w.Close()
-	log, err := logline.New(w, c.LogLevel, boot.ID)
+	log, err := logline.New(w, c.LogLevel, cfg.ID)
 	if err != nil {
 		return usagef("log level %w", err)
 	}
 	// Nothing reads heap profiles.
 	runtime.MemProfileRate = 0
 	debug.SetGCPercent(gcPercent)
-	if boot.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(boot.Memory) * goMemoryShare))
+	if cfg.Memory > 0 {
+		debug.SetMemoryLimit(int64(float64(cfg.Memory) * goMemoryShare))
 	}
-	ls, err := listenAll(boot.Listen, boot.ReadyListen, fmt.Sprintf("%s:%d", boot.IP, c.MetricsPort), boot.PeersListen)
+	ls, err := listenAll(cfg.Listen, cfg.ReadyListen, fmt.Sprintf("%s:%d", cfg.IP, c.MetricsPort), cfg.PeersListen)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	log.Info("started", "role", "gate", "version", Version, "hall", boot.Hall, "listen", ls[0].Addr(),
-		"readiness", ls[1].Addr(), "metrics", ls[2].Addr(), "peers", ls[3].Addr(), "store", boot.Store)
-	return runGate(ctx, boot, log, ls, hup)
+	log.Info("started", "role", "gate", "version", Version, "hall", cfg.Hall, "listen", ls[0].Addr(),
+		"readiness", ls[1].Addr(), "metrics", ls[2].Addr(), "peers", ls[3].Addr(), "store", cfg.Store)
+	return runGate(ctx, cfg, log, ls, hup)
 }
 
 // runGate serves until ctx is done and the requests in flight have finished.
-func runGate(ctx context.Context, boot platform.Settings, log *slog.Logger, ls []net.Listener, hup <-chan os.Signal) error {
-	clk, link := clock.System(), downlink.New(boot.Link)
+func runGate(ctx context.Context, cfg platform.Settings, log *slog.Logger, ls []net.Listener, hup <-chan os.Signal) error {
+	clk, link := clock.System(), downlink.New(cfg.Link)
 	g := gate.New(gate.Config{
-		ID: boot.ID, Dialect: platform.Dialect(), Bounds: boot.Bounds, Link: link, Clock: clk, Log: log,
+		ID: cfg.ID, Dialect: platform.Dialect(), Bounds: cfg.Bounds, Link: link, Clock: clk, Log: log,
 	})
-	reader := platform.NewReader(platform.NewStore(platform.StoreConfig{Addr: boot.Store, Link: link, Clock: clk}), g, boot.Timing, clk, log)
+	reader := platform.NewReader(platform.NewStore(platform.StoreConfig{Addr: cfg.Store, Link: link, Clock: clk}), g, cfg.Timing, clk, log)
 	readCtx, stopReading := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stopReading()
 	node := peers.New(peers.Config{
-		ID: boot.ID, Addr: ls[3].Addr().String(), Seeds: boot.Peers, Host: g, Clock: clk, Log: log,
+		ID: cfg.ID, Addr: ls[3].Addr().String(), Seeds: cfg.Peers, Host: g, Clock: clk, Log: log,
 	})
 	wg.Go(func() { node.Run(readCtx, ls[3]) })
 	wg.Go(func() { reloadOnHangup(readCtx, g, log, hup) })
@@ -104,12 +104,12 @@
 			return
 		case <-hup:
 		}
-		boot, err := platform.LoadSettings()
+		cfg, err := platform.LoadSettings()
 		if err != nil {
 			log.Error("reload_refused", "error", err)
 			continue
 		}
-		g.SetBounds(boot.Bounds)
+		g.SetBounds(cfg.Bounds)
 		log.Info("reloaded")
 	}
 }
