--- a/internal/days/days.go
+++ b/internal/days/days.go
@@ -102,8 +102,8 @@
 }
 
 // template returns the template of t. It uses the site's own trouble of the same kind, variant
-// and machines if there is one. Otherwise it takes the fields without a default from the site's
-// first trouble of the kind.
+// and machines if there is one. Otherwise it takes the share, count and x that have no default
+// from the site's first trouble of the kind.
 func (s Site) template(k Kind, t Trouble, own []Trouble) Template {
 	if i := slices.IndexFunc(own, func(o Trouble) bool { return o.text("how") == t.text("how") && o["on"] == t["on"] }); i >= 0 {
 		t = maps.Clone(own[i])
@@ -157,14 +157,14 @@
 }
 
 // Draw returns the selected days. It returns the same days for the same seeds.
-func (s Site) Draw(kinds []Kind, w Options) (all []Day, err error) {
-	s.Planned = append(slices.Clone(s.Planned), w.Planned...)
+func (s Site) Draw(kinds []Kind, opts Options) (all []Day, err error) {
+	s.Planned = append(slices.Clone(s.Planned), opts.Planned...)
 	templates := s.Templates(kinds)
-	if len(w.Shapes) == 0 && w.Stop == "" {
-		w.Shapes = slices.Sorted(maps.Keys(shapes))
+	if len(opts.Shapes) == 0 && opts.Stop == "" {
+		opts.Shapes = slices.Sorted(maps.Keys(shapes))
 	}
-	for seed := w.Seed; seed < w.Seed+w.Seeds; seed++ {
-		for _, shape := range w.Shapes {
+	for seed := opts.Seed; seed < opts.Seed+opts.Seeds; seed++ {
+		for _, shape := range opts.Shapes {
 			if _, ok := shapes[shape]; !ok {
 				return nil, fmt.Errorf("unknown shape %q; the shapes are %s", shape, slices.Sorted(maps.Keys(shapes)))
 			}
@@ -172,7 +172,7 @@
 				all = append(all, s.newDay(tmpl.Label(), shape, seed, s.troubles(newRand(seed, shape+tmpl.Label()), shape, tmpl, templates)))
 			}
 		}
-		stops, err := s.stops(w, templates, seed)
+		stops, err := s.stops(opts, templates, seed)
 		if err != nil {
 			return nil, err
 		}
@@ -180,11 +180,11 @@
 	}
 	all = slices.DeleteFunc(all, func(d Day) bool {
 		kind, _, _ := strings.Cut(d.Label, "/")
-		return len(w.Only) > 0 && !slices.Contains(w.Only, kind) && !slices.Contains(w.Only, d.Label)
+		return len(opts.Only) > 0 && !slices.Contains(opts.Only, kind) && !slices.Contains(opts.Only, d.Label)
 	})
-	if w.Random > 0 {
-		newRand(w.Seed, "random").Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		all = all[:min(w.Random, len(all))]
+	if opts.Random > 0 {
+		newRand(opts.Seed, "random").Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		all = all[:min(opts.Random, len(all))]
 	}
 	if len(all) == 0 {
 		return nil, errors.New("no days match; list the days without --only, and use at least one seed")
--- a/internal/days/stops.go
+++ b/internal/days/stops.go
@@ -18,13 +18,13 @@
 	restartSeconds = 0.5
 )
 
-// stops returns the days of planned stops for a seed, none without w.Stop. Troubles of the kinds
-// in w.Beside occur while some entries are down, those in w.Under last throughout the stops.
-func (s Site) stops(w Options, templates []Template, seed uint64) (all []Day, err error) {
-	if w.Stop == "" {
+// stops returns the days of planned stops for a seed, none without opts.Stop. Troubles of the kinds
+// in opts.Beside occur while some entries are down, those in opts.Under last throughout the stops.
+func (s Site) stops(opts Options, templates []Template, seed uint64) (all []Day, err error) {
+	if opts.Stop == "" {
 		return nil, nil
 	}
-	s.Planned = append(slices.Clone(s.Planned), w.Stop)
+	s.Planned = append(slices.Clone(s.Planned), opts.Stop)
 	n := s.EntryCount()
 	// More than half of the entries in a group give groups of unequal size.
 	majority := func(r *rand.Rand) int { return min(n, n/2+1+r.IntN(n/2+1)) }
@@ -33,21 +33,21 @@
 	add := func(label string, draw func(*rand.Rand) []Trouble) {
 		all = append(all, s.newDay("stops/"+label, "day", seed, draw(newRand(seed, label))))
 	}
-	add("groups", func(r *rand.Rand) []Trouble { return s.groups(r, w.Stop) })
-	add("again", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, majority) })
-	add("singly", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, single) })
-	add("moment", func(r *rand.Rand) []Trouble { return s.series(r, w.Stop, everyEntry) })
-	for i, name := range slices.Concat(w.Beside, w.Under) {
+	add("groups", func(r *rand.Rand) []Trouble { return s.groups(r, opts.Stop) })
+	add("again", func(r *rand.Rand) []Trouble { return s.series(r, opts.Stop, majority) })
+	add("singly", func(r *rand.Rand) []Trouble { return s.series(r, opts.Stop, single) })
+	add("moment", func(r *rand.Rand) []Trouble { return s.series(r, opts.Stop, everyEntry) })
+	for i, name := range slices.Concat(opts.Beside, opts.Under) {
 		at := slices.IndexFunc(templates, func(tmpl Template) bool { return tmpl.entry["kind"] == name })
 		if at < 0 {
 			return nil, fmt.Errorf("stops: the bench has no kind %q for this site; list the kinds with its subcommand kinds", name)
 		}
 		schedule, label := s.duringAbsence, "beside/"+name
-		if i >= len(w.Beside) {
+		if i >= len(opts.Beside) {
 			schedule, label = s.throughoutStop, "under/"+name
 		}
 		add(label, func(r *rand.Rand) []Trouble {
-			stops := s.series(r, w.Stop, majority)
+			stops := s.series(r, opts.Stop, majority)
 			for _, t := range stops {
 				stops = append(stops, schedule(r, templates[at], t.num("at")))
 			}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,16 +36,15 @@
 type Fault string
 
 const (
-	// NoFault passes everything on.
 	NoFault Fault = "sound"
-	// Delayed passes everything on late.
+	// Delayed forwards all data late.
 	Delayed Fault = "delayed"
-	// Cut drops what goes either way, DeafTo what goes to the dialed end, and
-	// DeafFrom what comes back. Connections stay open and silent.
+	// Cut drops the data of both directions, DropToTarget and DropFromTarget that of
+	// one. Connections stay open and silent.
 	Cut            Fault = "cut"
 	DropToTarget   Fault = "deaf_to"
 	DropFromTarget Fault = "deaf_from"
-	// Resets closes all connections, and new ones as they come.
+	// Resets resets the open connections and all new ones.
 	Resets Fault = "resets"
 )
 
@@ -239,7 +238,7 @@
 
 func (p *proxiedConn) close() { _, _ = p.dialer.Close(), p.target.Close() }
 
-// reset resets both ends, so that neither takes the data so far for complete: a response
+// reset resets both ends, so that neither end mistakes the data so far for complete: a response
 // without a length ends with its connection.
 func (p *proxiedConn) reset() {
 	// Fails on a connection that is closed already.
@@ -261,8 +260,8 @@
 			time.Sleep(delay)
 		}
 		if n > 0 && !drop {
-			// The end of a silent direction is not passed on, so writes to it
-			// may fail.
+			// A failed write means that the receiver has closed. If the
+			// opposite direction is silent, the sender must not notice it.
 			if _, werr := to.Write(buf[:n]); werr != nil && !l.isSilent(p, d.opposite()) {
 				_ = from.Close()
 			}
