--- a/measure/soak/again.go
+++ b/measure/soak/again.go
@@ -9,36 +9,36 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// Ways of an engine that starts again.
+// Variants of a restart.
 const (
-	// clockOn and clockBack are what its clock did meanwhile.
+	// The clock of the engine was set forward or back in between.
 	clockForward = "clock_on"
 	clockBack    = "clock_back"
-	// lateWord has the last word of its earlier life, that it leaves, come after the
-	// first of the later one.
+	// lateEntry publishes the final draining entry of the earlier incarnation after the
+	// first entry of the later one.
 	lateEntry = "late_word"
-	// leavesAgain has it say that it leaves before it starts again.
+	// drainsFirst publishes the engine as draining before the restart.
 	drainsFirst = "left_before"
 )
 
 var (
 	restartVariants = []string{clockForward, clockBack, lateEntry, lateEntry, drainsFirst}
-	// againGroups is how many engines start again: one, two or all.
+	// restartGroups is how many engines restart: one, two or all.
 	restartGroups   = []int{1, 2, maxIndex}
 	foreignVariants = []string{"nothing", "no_json", "no_base64", "seq", "state", "capacity", "born"}
-	// restartingKinds is drawn from in a restarting play.
+	// restartingKinds are the steps of a restarting play.
 	restartingKinds = slices.Concat(mixedKinds, []Kind{RestartEngines, RestartEngines, RestartEngines, RestartEngines, RestartEngines, ForeignEntry, ForeignEntry, ForeignEntry})
 )
 
 const (
-	// lateBy is how long after the first word of a later life one of the earlier life
-	// may come.
+	// lateEntryDelay is how long after the first entry of the later incarnation one of the
+	// earlier incarnation may arrive.
 	lateEntryDelay = 100 * time.Millisecond
-	// backBy is how far the clock of an engine is set back.
+	// clockSetBack is how far the clock of an engine is set back.
 	clockSetBack = time.Hour
 )
 
-// startAgain makes engines crash and start again, one after the other.
+// restartEngines makes engines crash and restart, one after the other.
 func (w *deployment) restartEngines(s Step) {
 	w.mu.Lock()
 	n := len(w.engines)
@@ -51,26 +51,26 @@
 	wg.Wait()
 }
 
-func (w *deployment) restartEngine(i int, how string) {
+func (w *deployment) restartEngine(i int, variant string) {
 	w.mu.Lock()
 	e := w.engines[i]
 	earlier := e.Entry(w.services[i], "draining")
 	earlier["address"] = w.links[i].Addr()
 	by := time.Second
-	if how == clockBack {
+	if variant == clockBack {
 		by = -clockSetBack
 	}
-	if how == drainsFirst {
-		w.list(i, "draining")
+	if variant == drainsFirst {
+		w.publishEngine(i, "draining")
 		w.mu.Unlock()
 		time.Sleep(lateEntryDelay)
 		w.mu.Lock()
 	}
 	e.RestartWithClockOffset(by)
-	w.list(i, "ready")
+	w.publishEngine(i, "ready")
 	w.rec.addRestart(e.ID())
 	w.mu.Unlock()
-	if how != lateEntry {
+	if variant != lateEntry {
 		return
 	}
 	time.Sleep(lateEntryDelay)
@@ -78,10 +78,11 @@
 	time.Sleep(lateEntryDelay)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.list(i, "ready")
+	w.publishEngine(i, "ready")
 }
 
-// again forgets that an engine left: that was its earlier life.
+// addRestart records a restart. The engine no longer counts as draining, since its earlier
+// incarnation did.
 func (r *record) addRestart(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,18 +91,18 @@
 }
 
 const (
-	// usedWithin is the end of a run in which an engine that started again must be
-	// used, if its service has at least usedOf runs then: by chance one of twelve
-	// engines is left out by as many once in 4,000,000 runs.
+	// restartUseWindow is the end of a run in which a restarted engine must receive
+	// requests, if its service has at least restartUseMinRuns runs then: with that many,
+	// one of twelve engines gets none by chance once in 4,000,000 runs.
 	restartUseWindow  = 5 * time.Second
 	restartUseMinRuns = 175
 )
 
-// behave returns how an engine answers. In a restarting or copying play engines of plain services
-// tell no load: with few requests an entry stays at the one that told it that it is idle,
-// and leaves others out that are idle too.
-func (w *deployment) behave(way string) func(standin.Run) standin.Reply {
-	reply := behave(way)
+// behave returns the behavior of an engine. In a restarting or copying play, engines of
+// plain services report no load: with few requests, a gate stays with the engine that
+// reported itself idle and leaves out others that are idle, too.
+func (w *deployment) behave(variant string) func(standin.Run) standin.Reply {
+	reply := behave(variant)
 	switch w.cfg.Play {
 	case Ending:
 		return crashOn(w.cfg.Seed, reply)
@@ -118,8 +119,8 @@
 	}
 }
 
-// judgeRestarted holds that engines of plain services that started again are used:
-// requests go by load there, and none is left out where none tells its own.
+// judgeRestarted checks that restarted engines of plain services receive requests: requests
+// are routed by load there, and no engine is left out if none reports its load.
 func (r *record) judgeRestarted(engines []*standin.Engine, services []string) {
 	from := r.ended.Add(-restartUseWindow)
 	runs, all := map[string]int{}, 0
@@ -136,17 +137,17 @@
 	}
 	for i, e := range engines {
 		if services[i] == "api" && r.restarted[e.ID()] && runs[e.ID()] == 0 && all >= restartUseMinRuns {
-			r.addViolation("%s started again and got none of the last %d requests of its service", e.ID(), all)
+			r.addViolation("%s restarted and received none of the last %d requests of its service", e.ID(), all)
 		}
 	}
 }
 
-// foreign lists an engine that nobody may use, and has such an entry stand in place
-// of another engine's for a while.
-func (w *deployment) foreign(i int, s Step) {
+// foreign publishes an engine with an invalid entry, which no one may use, and replaces the
+// entry of another engine by such an entry for a while.
+func (w *deployment) publishForeign(i int, s Step) {
 	decoy, err := standin.NewEngine(fmt.Sprintf("i-decoy-%d-%d", s.Start, s.Index), w.behave(""))
 	if err != nil {
-		// Without it the run goes on.
+		// The run continues without it.
 		return
 	}
 	w.rec.mu.Lock()
@@ -154,18 +155,18 @@
 	w.rec.mu.Unlock()
 	w.mu.Lock()
 	service := w.services[i]
-	w.damage(decoy.ID(), decoy.Entry(service, "ready"), s.Variant)
+	w.publishInvalid(decoy.ID(), decoy.Entry(service, "ready"), s.Variant)
 	entry := w.engines[i].Entry(service, "ready")
 	entry["address"] = w.links[i].Addr()
-	w.damage(w.engines[i].ID(), entry, s.Variant)
+	w.publishInvalid(w.engines[i].ID(), entry, s.Variant)
 	w.mu.Unlock()
 	time.Sleep(s.Duration)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.list(i, w.rec.state(w.engines[i].ID()))
+	w.publishEngine(i, w.rec.state(w.engines[i].ID()))
 }
 
-// state returns what an engine was last published as.
+// state returns the state that was last published for an engine.
 func (r *record) state(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,10 +176,10 @@
 	return "ready"
 }
 
-// damage writes an entry as another writer does.
-func (w *deployment) damage(id string, entry map[string]any, how string) {
+// damage writes an invalid entry, as a foreign writer would.
+func (w *deployment) publishInvalid(id string, entry map[string]any, variant string) {
 	key := "servers/" + id
-	switch how {
+	switch variant {
 	case "nothing":
 		w.store.Put(key, []byte{})
 	case "no_json":
@@ -186,10 +187,10 @@
 	case "no_base64":
 		w.store.PutText(key, "%%%")
 	case "seq":
-		delete(entry, how)
+		delete(entry, variant)
 		w.store.Put(key, entry)
 	default:
-		entry[how] = []string{"x"}
+		entry[variant] = []string{"x"}
 		w.store.Put(key, entry)
 	}
 }
--- a/measure/soak/break.go
+++ b/measure/soak/break.go
@@ -10,41 +10,42 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// Break has an engine, or all of them, end answers in one of breakWays.
+// BreakResponses makes one engine or all of them end responses in one of breakVariants.
 const BreakResponses Kind = "break"
 
-// Breaking has engines that break answers off by a FIN, a reset or a last chunk, with and
-// without a length or chunks, or end their connections halfway, beside other troubles.
+// Breaking has engines that end responses early by a FIN, a reset or a last chunk, with and
+// without a length or chunks, or half-close their connections, along with other
+// disturbances.
 const Breaking Play = "breaking"
 
-// breakWays are the ways of engines to end answers, whole ones among them.
+// breakVariants are the ways in which engines end responses, complete ones included.
 var breakVariants = []string{
 	"unframed_fin", "unframed_fin", "unframed_reset", "unframed_half_closed", "unframed_whole", "unframed_whole_half_closed",
 	"fin", "half_closed", "reset", "last_chunk", "whole_half_closed",
 }
 
-// breakingKinds is what goes on besides.
+// breakingKinds are the other steps of a breaking play.
 var breakingKinds = []Kind{Kill, Pause, Stop, Stop, Reload, PublishConfig, AddEngine, DrainEngine, EngineLink, EngineFault, StoreFault}
 
 const (
-	// breakingOthers bounds the other troubles.
+	// maxBreakingOthers limits the number of other steps.
 	maxBreakingOthers = 6
-	// breaksApart bounds the time between two breaks.
+	// maxBreakGap limits the time between two BreakResponses steps.
 	maxBreakGap = 1500 * time.Millisecond
-	// breakingCallers is how many callers of a gate there are more, who ask for long
-	// answers too.
+	// breakingCallers is the number of additional callers per gate, which also request long
+	// responses.
 	breakingCallers = 2
-	// breakEvents is after how many events a stream breaks off.
+	// cutAfterEvents is the number of events after which a stream breaks.
 	cutAfterEvents = 3
-	// longPlainBytes is more than a gate holds of a plain answer.
-	longPlainBytes = 320 << 10
-	longPlain      = "/big"
+	// longPlainBytes exceeds what a gate buffers of a response that is no stream.
+	longPlainBytes  = 320 << 10
+	longPlainSuffix = "/big"
 )
 
-// longPlainRest is what follows the beginning of a long plain answer.
+// longPlainRest follows the first bytes of a long response that is no stream.
 var longPlainRest = strings.Repeat("x", longPlainBytes)
 
-// newBreaking draws breaks that overlap, and some other troubles.
+// newBreaking draws overlapping BreakResponses steps and some other steps.
 func newBreaking(rng *rand.Rand, length time.Duration) []Step {
 	var steps []Step
 	for at := time.Second; at < length-quiet; at += time.Duration(rng.Int64N(int64(maxBreakGap))) {
@@ -73,47 +74,48 @@
 	return steps
 }
 
-// breaks returns an answer as a way of breakWays ends it. What takes a stream up that broke
-// off by a FIN ends with its connection.
-func breakReply(way string, run standin.Run, p standin.Reply) standin.Reply {
-	if way == "fin" && run.Header.Get("Last-Event-Id") != "" {
+// breakReply changes a reply to end as the variant says. A stream that continues one broken
+// by a FIN ends with its connection.
+func breakReply(variant string, run standin.Run, p standin.Reply) standin.Reply {
+	if variant == "fin" && run.Header.Get("Last-Event-Id") != "" {
 		p.Unframed = true
 		return p
 	}
-	p.Unframed = strings.HasPrefix(way, "unframed")
-	p.HalfClosed = strings.HasSuffix(way, "half_closed")
-	p.CloseWithFIN = !strings.HasSuffix(way, "reset")
-	p.LastChunk = way == "last_chunk"
-	if !strings.Contains(way, "whole") {
+	p.Unframed = strings.HasPrefix(variant, "unframed")
+	p.HalfClosed = strings.HasSuffix(variant, "half_closed")
+	p.CloseWithFIN = !strings.HasSuffix(variant, "reset")
+	p.LastChunk = variant == "last_chunk"
+	if !strings.Contains(variant, "whole") {
 		p.CutAfter, p.CutBody = cutAfterEvents, len(p.Body)*9/10
 	}
 	return p
 }
 
-// breakOff has an engine, or all of them, end answers in a way for a while.
+// breakResponses makes one engine or all of them end responses as the variant says.
 func (w *deployment) breakResponses(s Step, i int) {
-	set := func(way string) {
+	set := func(variant string) {
 		if s.Count > 1 {
-			w.setAll(w.behave(way))
+			w.setAll(w.behave(variant))
 			return
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.engines[i].SetReply(w.behave(way))
+		w.engines[i].SetReply(w.behave(variant))
 	}
 	set(s.Variant)
 	time.Sleep(s.Duration)
 	set("")
 }
 
-// callBreaking asks for answers of all kinds, long plain ones among them.
+// callBreaking sends requests of all kinds, including those with long responses that are no
+// streams.
 func (w *deployment) callBreaking(g, c int) {
 	rng := rand.New(rand.NewPCG(w.cfg.Seed, uint64(breakingCallersFrom+g*breakingCallers+c)))
-	paths := []string{"/unsafe" + longPlain, "/safe/x", "/unsafe/x", "/chat/x", "/resume/x"}
+	paths := []string{"/unsafe" + longPlainSuffix, "/safe/x", "/unsafe/x", "/chat/x", "/resume/x"}
 	w.callWith(callerPatience, w.protoOf(g, callers+c), func(n int) request {
-		return request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, callers+c, n), path: paths[rng.IntN(len(paths))], key: keyKept, sent: time.Now()}
+		return request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, callers+c, n), path: paths[rng.IntN(len(paths))], key: keyValid, sent: time.Now()}
 	}, rng)
 }
 
-// breakingCallersFrom keeps their draws from those of others.
+// breakingCallersFrom separates these random sequences from those of other callers.
 const breakingCallersFrom = 1 << 34
--- a/measure/soak/callers.go
+++ b/measure/soak/callers.go
@@ -18,43 +18,43 @@
 // Streams of very unequal length.
 const (
 	longPath = "/long/"
-	// longCallers is how many callers of a gate ask for them.
+	// longCallers is the number of callers per gate that request them.
 	longCallers = 6
 	longPause   = 30 * time.Millisecond
-	// longMost is how many events the longest has, and longTokens what is told of
-	// it: 4.2 s, a little less than a stopping process has.
+	// maxLongEvents is the number of events of the longest stream, and longTokens the token
+	// limit that its request states: 4.2 s, a little less than a stopping process has.
 	maxLongEvents = 140
 	longTokens    = maxLongEvents * standin.EventTokens
-	// leastPart is the part of what is told that comes at least. fullShare of the
-	// answers have all of it; the rest are mostly short, since the part rises by
-	// this power of an even draw. A process that served for a second so has seen
-	// few that take longer than that, or none.
-	minPart   = 0.1
-	fullShare = 0.08
-	partPower = 8
-	// longPatience is longer than any answer may take.
+	// minTokenShare is the minimum part of the stated tokens that a response has. A share of
+	// fullLengthShare has all of them. The others are mostly short: the part grows with a uniform
+	// random number to the power of tokenSharePower. So a process that has served for a second
+	// has seen few responses that take longer, or none.
+	minTokenShare   = 0.1
+	fullLengthShare = 0.08
+	tokenSharePower = 8
+	// longPatience exceeds the longest permitted response.
 	longPatience = standin.LongTimeout + 2*time.Second
 )
 
-// longEvents returns how many events the answer to a request has that told the
+// longEvents returns the number of events of the response to a request that states the
 // given number of tokens.
 func longEvents(id string, tokens int) int {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, id)
 	rng := rand.New(rand.NewPCG(h.Sum64(), uint64(tokens)))
-	most := float64(tokens / standin.EventTokens)
-	if rng.Float64() < fullShare {
-		return int(most)
+	maxEvents := float64(tokens / standin.EventTokens)
+	if rng.Float64() < fullLengthShare {
+		return int(maxEvents)
 	}
-	return max(1, int(most*(minPart+(1-minPart)*math.Pow(rng.Float64(), partPower))))
+	return max(1, int(maxEvents*(minTokenShare+(1-minTokenShare)*math.Pow(rng.Float64(), tokenSharePower))))
 }
 
-// call sends requests to a gate over kept connections until the run is over.
+// call sends requests to a gate over persistent connections until the run ends.
 func (w *deployment) call(g, c int) {
 	rng := rand.New(rand.NewPCG(w.cfg.Seed, uint64(g*callers+c)))
 	paths := []string{"/safe/x", "/unsafe/x", "/chat/x", "/resume/x"}
 	w.callWith(callerPatience, w.protoOf(g, c), func(n int) request {
-		a := request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, c, n), path: paths[rng.IntN(len(paths))], key: keyKept, sent: time.Now()}
+		a := request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, c, n), path: paths[rng.IntN(len(paths))], key: keyValid, sent: time.Now()}
 		if rng.IntN(4) == 0 {
 			a.key = keyRevoked
 		}
@@ -62,12 +62,12 @@
 	}, rng)
 }
 
-// callLong asks for streams of very unequal length. Half of the requests tell
-// the most that may come out.
+// callLong requests streams of very unequal length. Half of the requests state the maximum
+// number of output tokens.
 func (w *deployment) callLong(g, c int) {
 	rng := rand.New(rand.NewPCG(w.cfg.Seed, uint64(longCallersFrom+g*longCallers+c)))
 	w.callWith(longPatience, w.protoOf(g, c), func(n int) request {
-		a := request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, c, n), path: longPath + "x", key: keyKept, tokens: longTokens, sent: time.Now()}
+		a := request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, c, n), path: longPath + "x", key: keyValid, tokens: longTokens, sent: time.Now()}
 		if rng.IntN(2) == 0 {
 			a.tokens = standin.EventTokens * (1 + rng.IntN(maxLongEvents))
 		}
@@ -75,22 +75,23 @@
 	}, rng)
 }
 
-// longCallersFrom keeps the draws of longCallers from those of the others.
+// longCallersFrom separates the random sequences of these callers from those of others.
 const longCallersFrom = 1 << 32
 
-// protoOf draws how a caller of a gate sends. The draws of its requests do not depend on it.
+// protoOf draws how a caller sends its requests. It has its own random sequence, so the
+// requests do not depend on it.
 func (w *deployment) protoOf(g, c int) proto {
 	return protos[rand.New(rand.NewPCG(w.cfg.Seed, uint64(protosFrom+g*protosOfGate+c))).IntN(len(protos))]
 }
 
 const (
-	// protosFrom keeps these draws from those of callers, protosOfGate those of gates from
-	// one another.
+	// protosFrom separates these random sequences from those of callers, and protosOfGate
+	// those of the gates from one another.
 	protosFrom   = 1 << 35
 	protosOfGate = 64
 )
 
-// callWith sends what next returns until the run is over.
+// callWith sends the requests that next returns until the run ends.
 func (w *deployment) callWith(patience time.Duration, by proto, next func(n int) request, rng *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: patience}
 	defer client.CloseIdleConnections()
@@ -98,17 +99,16 @@
 		a := next(n)
 		a.proto = by
 		if by == library {
-			a = w.send(client, w.gates[a.gate].callers, a)
+			a = w.send(client, w.gates[a.gate].callersAddr, a)
 		} else {
-			a = w.sendRaw(patience, w.gates[a.gate].callers, a)
+			a = w.sendRaw(patience, w.gates[a.gate].callersAddr, a)
 		}
-		w.rec.add(a.finish())
+		w.rec.addRequest(a.finish())
 		time.Sleep(time.Duration(rng.Int64N(int64(60 * time.Millisecond))))
 	}
 }
 
-// done returns the request once nothing more comes of it. The body is dropped where it is
-// the whole of the request's own answer.
+// finish completes the record of a request. It drops a body that is the expected one.
 func (a request) finish() request {
 	a.ended, a.bytes = time.Now(), len(a.body)
 	if a.bodyMatches = a.body == a.wantBody(); a.bodyMatches {
--- a/measure/soak/copies.go
+++ b/measure/soak/copies.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// copiedBefore bounds how old the copy is that the store comes back from, awayFor how
-	// long it is away, and rewrittenAfter when operators and engines write again what it
-	// lacks: some two seconds at most. Together they are longer than the bound for revoked
-	// keys.
+	// maxCopyAge limits the age of the copy that the store is restored from,
+	// maxStoreDowntime how long the store is unavailable, and maxRewriteDelay, about two
+	// seconds, when operators and engines write again what the copy lacks. Their sum
+	// exceeds the bound for revoked keys.
 	maxCopyAge       = 3 * time.Second
 	maxStoreDowntime = 600 * time.Millisecond
 	maxRewriteDelay  = 2300 * time.Millisecond
 )
 
-// copyingKinds is drawn from in a copying play: eras and suspensions come in series, beside
-// signals and cuts.
+// copyingKinds are the steps of a copying play: restores and suspensions in series, along
+// with signals and cut connections.
 var copyingKinds = slices.Concat(mixedKinds, []Kind{RestoreStore, RestoreStore, Suspend, Suspend, Suspend, Suspend, PublishConfig, DrainEngine, AddEngine, RestartEngines})
 
-// comeBack has the store come back from a copy, and all that live write again. One of two
-// copies has a key that is taken away right after it was made, and a gate starts before
-// that is written again, mostly later than a revoked key may be accepted.
+// restoreStore restores the store from a copy, and all live writers write again. Every
+// second copy has a key that is revoked right after it was made, and a gate starts before
+// the revocation is written again, mostly later than a revoked key may be accepted.
 func (w *deployment) restoreStore(s Step) {
 	w.restoring.Lock()
 	defer w.restoring.Unlock()
 	if time.Now().After(w.quietFrom) {
-		// Keys would be in doubt until too late.
+		// The validity of keys would be unconfirmed for too long.
 		return
 	}
 	revokes := s.Index%2 == 0
@@ -58,19 +58,19 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, e := range w.engines {
-		w.list(i, w.rec.state(e.ID()))
+		w.publishEngine(i, w.rec.state(e.ID()))
 	}
 }
 
-// publishAgain writes the latest version of the config again.
+// rewriteConfig writes the latest version of the config again.
 func (w *deployment) rewriteConfig() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.putConfig()
 }
 
-// suspend stands for the suspension of an instance: its process is stopped, and its steady
-// clock leaves that out. As a restart it does not come later than by.
+// suspend simulates the suspension of an instance: its process is stopped, and its steady
+// clock does not count that time. Like restart, it does nothing after the time by.
 func (g *gate) suspend(d time.Duration, by time.Time) {
 	g.restarting.Lock()
 	defer g.restarting.Unlock()
@@ -80,13 +80,14 @@
 	g.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	g.suspended += d
-	// A file that cannot be written makes it a pause.
+	// If the file cannot be written, the suspension acts as a pause.
 	_ = os.WriteFile(g.suspensionFile(), []byte(strconv.FormatInt(g.suspended.Milliseconds(), 10)), 0o600)
 	g.signal(clocktest.ResumeSignal)
 	g.signal(syscall.SIGCONT)
 }
 
-// suspensions is the file with what the gate was suspended for.
+// suspensionFile returns the path of the file with the total time for which the gate was
+// suspended.
 func (g *gate) suspensionFile() string {
 	return strings.TrimSuffix(g.settingsFile, ".toml") + ".suspended"
 }
--- a/measure/soak/ending.go
+++ b/measure/soak/ending.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// endingRequests is how many requests there are that end the engines which begin
-	// them. Each comes again under new ids, to any gate.
+	// crashingRequests is the number of requests that crash the engines which run them.
+	// Each is sent repeatedly with new IDs to random gates.
 	crashingRequests = 4
-	// endingApart is how long after one of them the next first comes.
+	// crashingStartGap is the time between the first attempts of two of these requests.
 	crashingStartGap = 2 * time.Second
-	// endingEvery bounds the time between two attempts.
+	// crashingMaxPause limits the time between two attempts.
 	crashingMaxPause = 900 * time.Millisecond
-	// endingMark stands in their paths.
+	// crashingMark is part of their paths.
 	crashingMark = "ends-"
-	// endedDown bounds how long an engine is away that one of them ended.
+	// crashDowntime limits how long a crashed engine is away.
 	crashDowntime = 1200 * time.Millisecond
-	// endsAfter bounds how long it runs before.
+	// crashDelay limits how long it runs before it crashes.
 	crashDelay = 120 * time.Millisecond
-	// contact is how long after its third end a request must be known to all gates that
-	// had no trouble meanwhile, and endedMost is how often it may reach engines then.
+	// crashKnownAfter is the time after the third crash at which all undisturbed gates must
+	// know the request, and maxLateArrivals how often it may reach engines after that.
 	crashKnownAfter = 3 * time.Second
 	maxLateArrivals = 3
 )
 
-// endingKinds is drawn from in an ending play. Engines are reached without a link there,
-// which would take connections while they are away.
+// endingKinds are the steps of an ending play. Engines are reached without a proxy there,
+// which would accept connections while the engine is away.
 var endingKinds = []Kind{Kill, Kill, Pause, Stop, Stop, Reload, StoreFault, Compact, StoreLink, EngineFault, EngineFault, DrainEngine, AddEngine, PublishConfig, Series, SilentStoreConns}
 
-// endingPaths are the ways of requests of all kinds.
+// endingPaths has routes of all kinds.
 var crashingPaths = []string{"/safe/", "/chat/", "/unsafe/", "/resume/"}
 
-// callEnding sends one request that ends engines again and again.
+// callCrashing sends a request that crashes engines again and again.
 func (w *deployment) callCrashing(k int) {
 	rng := rand.New(rand.NewPCG(w.cfg.Seed, uint64(k)+crashingCallersFrom))
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callerPatience}
@@ -46,17 +46,17 @@
 	path := fmt.Sprintf("%s%s%d", crashingPaths[k%len(crashingPaths)], crashingMark, k)
 	for n := 0; w.ctx.Err() == nil; n++ {
 		g := rng.IntN(len(w.gates))
-		a := request{gate: g, id: fmt.Sprintf("e%dn%d", k, n), path: path, crashBody: path, key: keyKept, proto: library, sent: time.Now()}
-		a = w.send(client, w.gates[g].callers, a)
-		w.rec.add(a.finish())
+		a := request{gate: g, id: fmt.Sprintf("e%dn%d", k, n), path: path, crashBody: path, key: keyValid, proto: library, sent: time.Now()}
+		a = w.send(client, w.gates[g].callersAddr, a)
+		w.rec.addRequest(a.finish())
 		time.Sleep(time.Duration(rng.Int64N(int64(crashingMaxPause))))
 	}
 }
 
-// endingFrom keeps the draws of callEnding from those of other callers.
+// crashingCallersFrom separates these random sequences from those of other callers.
 const crashingCallersFrom = 1 << 33
 
-// endsOn returns how an engine answers in an ending play.
+// crashOn returns the behavior of an engine in an ending play.
 func crashOn(seed uint64, reply func(standin.Run) standin.Reply) func(standin.Run) standin.Reply {
 	return func(run standin.Run) standin.Reply {
 		if !strings.Contains(run.URI, crashingMark) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// judgeEnding holds that requests which end engines reach few of them once all gates must
-// know, and that what broke off with an engine is not laid to stops.
+// judgeCrashingRequests checks that requests which crash engines reach few engines once all
+// gates must know them.
 func (r *record) judgeCrashingRequests(engines []*standin.Engine) {
 	gates := map[string]int{}
 	for _, a := range r.requests {
@@ -96,12 +96,12 @@
 			}
 		}
 		if late > maxLateArrivals {
-			r.addViolation("%s ended %d engines and reached %d once all must know, want at most %d", uri, len(times), late, maxLateArrivals)
+			r.addViolation("%s crashed %d engines and reached %d after all gates had to know it, want at most %d", uri, len(times), late, maxLateArrivals)
 		}
 	}
 }
 
-// outOfTouch reports whether a gate was struck or stopped shortly before.
+// disturbedBefore reports whether a gate was disturbed or stopped shortly before a time.
 func (r *record) disturbedBefore(gate int, at time.Time) bool {
 	from := at.Add(-crashKnownAfter)
 	disturbed := slices.ContainsFunc(r.disturbances, func(t disturbance) bool {
@@ -110,7 +110,8 @@
 	return disturbed || slices.ContainsFunc(r.stops, func(s plannedStop) bool { return s.gate == gate && s.signaledAt.Before(at) && s.exitedAt.After(from) })
 }
 
-// noteCrashes tells of the ends of engines as troubles.
+// addCrashDisturbances records the crashes of engines as disturbances, so that the
+// responses broken by them are not attributed to planned stops.
 func (r *record) addCrashDisturbances(engines []*standin.Engine) {
 	for _, e := range engines {
 		for _, at := range e.Crashes() {
--- a/measure/soak/fail.go
+++ b/measure/soak/fail.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// Herd strikes all gates at once.
+// AllGates disturbs all gates at once.
 const AllGates Kind = "herd"
 
-// Failing has engines of which each fails half of its requests, while all gates are killed
-// or stand still at once, again and again, and many callers: repeats come near to their
-// bound.
+// Failing has engines of which each fails half of its requests, while all gates are
+// repeatedly killed or paused at once, and many callers, so that retries come close to
+// their limit.
 const Failing Play = "failing"
 
-// How the gates of a herd fare.
+// Variants of AllGates.
 const (
 	allKilled = "killed"
 	allPaused = "still"
 )
 
 const (
-	// failingCallers is how many callers of a gate there are more.
+	// failingCallers is the number of additional callers per gate.
 	failingCallers = 9
 	// shortestFailure and longestFailure bound the time in which engines fail.
 	shortestFailure = 2 * time.Second
 	longestFailure  = 6 * time.Second
 	maxFailureGap   = time.Second
-	// longestHerd is how long after engines begin to fail gates are struck at most.
+	// maxAllGatesDelay limits the time from the start of a failure to the AllGates step.
 	maxAllGatesDelay = 3 * time.Second
 )
 
 var allGatesVariants = []string{allKilled, allPaused}
 
-// newFailing draws failures one after the other, and a herd in each.
+// newFailing draws consecutive failures, with an AllGates step in each.
 func newFailing(rng *rand.Rand, length time.Duration) []Step {
 	var steps []Step
 	for at := time.Second; at < length-quiet; {
@@ -54,7 +54,7 @@
 	return steps
 }
 
-// strikeAll kills all gates, or has them stand still.
+// applyToAllGates kills or pauses all gates.
 func (w *deployment) applyToAllGates(s Step) {
 	var wg sync.WaitGroup
 	for _, g := range w.gates {
@@ -71,14 +71,14 @@
 	wg.Wait()
 }
 
-// callFailing sends plain requests until the run is over.
+// callFailing sends requests to the plain service until the run ends.
 func (w *deployment) callFailing(g, c int) {
 	rng := rand.New(rand.NewPCG(w.cfg.Seed, uint64(failingCallersFrom+g*failingCallers+c)))
 	paths := []string{"/safe/x", "/unsafe/x"}
 	w.callWith(callerPatience, w.protoOf(g, callers+c), func(n int) request {
-		return request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, callers+c, n), path: paths[rng.IntN(len(paths))], key: keyKept, sent: time.Now()}
+		return request{gate: g, id: fmt.Sprintf("g%dc%dn%d", g, callers+c, n), path: paths[rng.IntN(len(paths))], key: keyValid, sent: time.Now()}
 	}, rng)
 }
 
-// failingCallersFrom keeps their draws from those of others.
+// failingCallersFrom separates these random sequences from those of other callers.
 const failingCallersFrom = 1 << 33
--- a/measure/soak/frames.go
+++ b/measure/soak/frames.go
@@ -16,34 +16,34 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// proto is how a caller sends its requests and reads answers.
+// proto is how a caller sends requests and reads responses.
 type proto string
 
 const (
-	// library is a client of net/http.
+	// library is the client of net/http.
 	library proto = "library"
-	// raw11 and raw10 are plain sockets, one for each request, whose callers read the
-	// frames themselves.
+	// raw11 and raw10 are TCP connections, one for each request, whose callers parse the
+	// framing themselves.
 	raw11 proto = "HTTP/1.1"
 	raw10 proto = "HTTP/1.0"
 )
 
-// protos is drawn from evenly for each caller.
+// protos are drawn with equal probability for each caller.
 var protos = []proto{library, raw11, raw10}
 
-// message is an answer as its bytes say.
+// message is a parsed response.
 type message struct {
 	status int
 	header textproto.MIMEHeader
 	body   []byte
-	// end is how it ended by its own framing, and err why it is incomplete.
+	// ending is how the message ended by its framing, and err why it is incomplete.
 	ending framing.Completeness
 	err    error
-	// fault is what the framing must not have, "" if it is sound.
+	// fault is an error in the framing, "" if there is none.
 	fault string
 }
 
-// readMessage reads an answer to a request other than HEAD (RFC 9112, section 6.3).
+// readMessage reads a response to a request other than HEAD (RFC 9112, section 6.3).
 func readMessage(br *bufio.Reader, by proto) message {
 	m := message{ending: framing.Incomplete}
 	tr := textproto.NewReader(br)
@@ -56,7 +56,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil {
-		m.err, m.fault = err, fmt.Sprintf("a status line %q", line)
+		m.err, m.fault = err, fmt.Sprintf("an invalid status line %q", line)
 		return m
 	}
 	if m.header, m.err = tr.ReadMIMEHeader(); m.err != nil {
@@ -66,7 +66,7 @@
 	coding, lengths := m.header.Values("Transfer-Encoding"), m.header.Values("Content-Length")
 	switch {
 	case len(coding) > 0 && len(lengths) > 0, len(lengths) > 1:
-		m.fault = fmt.Sprintf("transfer codings %q and lengths %q", coding, lengths)
+		m.fault = fmt.Sprintf("transfer codings %q and content lengths %q", coding, lengths)
 	case len(coding) > 0 && by == raw10:
 		m.fault = fmt.Sprintf("transfer codings %q for HTTP/1.0", coding)
 	case len(coding) > 0:
@@ -75,7 +75,7 @@
 	case len(lengths) > 0:
 		n, err := strconv.Atoi(lengths[0])
 		if err != nil {
-			m.fault = fmt.Sprintf("a length %q", lengths[0])
+			m.fault = fmt.Sprintf("an invalid content length %q", lengths[0])
 			return m
 		}
 		m.body = make([]byte, n)
@@ -95,7 +95,7 @@
 	}
 }
 
-// readChunks reads chunks up to the last one and the trailers.
+// readChunks reads chunks including the last one and the trailers.
 func readChunks(br *bufio.Reader, tr *textproto.Reader) ([]byte, error) {
 	var body []byte
 	for {
@@ -119,12 +119,12 @@
 			return body, err
 		}
 		if string(data[n:]) != "\r\n" {
-			return body, errors.New("a chunk that does not end with its size")
+			return body, errors.New("chunk data is not followed by CRLF")
 		}
 	}
 }
 
-// askRaw sends a request over a connection of its own and reads the frames of the answer.
+// sendRaw sends a request over its own connection and parses the framing of the response.
 func (w *deployment) sendRaw(patience time.Duration, addr string, a request) request {
 	req, err := w.request(addr, a)
 	if err != nil {
@@ -137,7 +137,7 @@
 	}
 	defer func() { _ = nc.Close() }()
 	_ = nc.SetDeadline(a.sent.Add(patience))
-	// The library writes requests of HTTP/1.1 alone.
+	// net/http writes requests only as HTTP/1.1.
 	var out strings.Builder
 	if err := req.Write(&out); err != nil {
 		return a
@@ -150,7 +150,7 @@
 	m := readMessage(bufio.NewReader(nc), a.proto)
 	a.status, a.body, a.ending, a.signature = m.status, string(m.body), m.ending, standin.Signature(http.Header(m.header))
 	a.gaveUp, a.fault = timedOut(m.err), m.fault
-	// The connection leaves no port behind that waits.
+	// A reset leaves no port in TIME_WAIT.
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
--- a/measure/soak/grow.go
+++ b/measure/soak/grow.go
@@ -12,30 +12,29 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// Figures of settings that grow.
+// Parameters of a config that grows.
 const (
-	// slowLink is what the link of a gate to the store carries, in bytes a second:
-	// 10 Mbit/s.
+	// slowLink is the rate of a gate's link to the store in bytes per second: 10 Mbit/s.
 	slowLink        = 1_250_000
 	bytesPerMegabit = 125_000
-	// changeBound is how long a change may take to be in force, and changeSlack what
-	// one machine that runs everything adds.
+	// changeBound is the time in which a change must take effect, and changeSlack an
+	// allowance for running everything on one machine.
 	changeBound = 3 * time.Second
 	changeSlack = 500 * time.Millisecond
-	// mostIdle makes settings of a megabyte, and mostGrowth is what one version adds
-	// at most.
+	// maxIdleRoutes gives a config of a megabyte, and maxGrowth limits the routes that one
+	// version adds.
 	maxIdleRoutes = 12_500
 	maxGrowth     = 6250
-	// growEvery is the time between two versions at least, longer than one of a
-	// megabyte is on its way.
+	// growEvery is the minimum time between two versions. It exceeds the transfer time of
+	// one megabyte.
 	growEvery = 2 * time.Second
 )
 
-// growingKinds is what goes on besides versions that grow.
+// growingKinds are the steps beside the versions that grow.
 var growingKinds = []Kind{Compact, Compact, SilentStoreConns, Pause, Kill, Stop, Reload, PublishConfig}
 
-// newGrowing draws versions that grow until there is no room, changes of them, and
-// some troubles, most of them of the way to the store.
+// newGrowing draws versions that grow to the maximum, changes of them, and some other
+// steps, most of which affect the connection to the store.
 func newGrowing(rng *rand.Rand, length time.Duration) []Step {
 	var steps []Step
 	for at := time.Second; at < length-quiet; at += growEvery + time.Duration(rng.Int64N(int64(growEvery))) {
@@ -57,36 +56,36 @@
 	return steps
 }
 
-// grow publishes a version with so many routes more.
-func (w *deployment) grow(by int) {
+// grow publishes a version with additional routes.
+func (w *deployment) growConfig(by int) {
 	w.mu.Lock()
 	w.idle = min(maxIdleRoutes, w.idle+by)
 	w.mu.Unlock()
-	w.publish()
+	w.publishConfig()
 }
 
-// publish records that a version has been published.
-func (r *record) publish(version int) {
+// publish records the publication of a version.
+func (r *record) addVersion(version int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.publishedAt[version] = time.Now()
 }
 
-// callVersions asks a gate for the routes of the newest version and the one before
-// until the run is over.
+// callVersions requests the routes of the newest version and of the one before from a gate
+// until the run ends.
 func (w *deployment) callVersions(g int) {
 	w.callWith(callerPatience, library, func(n int) request {
 		w.mu.Lock()
 		version := max(1, w.version-n%2)
 		w.mu.Unlock()
-		return request{gate: g, id: fmt.Sprintf("v%dn%d", g, n), path: standin.VersionPath(version) + "x", key: keyKept, sent: time.Now()}
+		return request{gate: g, id: fmt.Sprintf("v%dn%d", g, n), path: standin.VersionPath(version) + "x", key: keyValid, sent: time.Now()}
 	}, rand.New(rand.NewPCG(w.cfg.Seed, uint64(versionCallersFrom+g))))
 }
 
-// versionCallersFrom keeps the draws of these callers from those of the others.
+// versionCallersFrom separates these random sequences from those of other callers.
 const versionCallersFrom = 1 << 33
 
-// version returns the version whose route a request asked for, or false.
+// version returns the version whose route was requested, or false.
 func (a request) version() (int, bool) {
 	rest, ok := strings.CutPrefix(a.path, "/v/")
 	if !ok {
@@ -96,9 +95,9 @@
 	return v, err == nil
 }
 
-// judgeVersion holds a request for a version's own route against the bound for
-// changes: past it the route is served while it is there, and never again once it was
-// taken away. A gate that was in trouble may be late.
+// judgeVersion checks that a version takes effect in time: after changeBound its route is
+// served while it exists, and is never served once it was withdrawn. A disturbed gate may
+// be late.
 func (r *record) judgeVersion(a request) {
 	v, ok := a.version()
 	if !ok || r.disturbed(a) || slices.ContainsFunc(r.stops, func(s plannedStop) bool { return s.overlaps(a) }) {
@@ -112,8 +111,8 @@
 	replaced = replaced && r.publishedAt[v+1].Before(a.ended)
 	switch {
 	case a.status == http.StatusNotFound && late(v) && !replaced:
-		r.addViolation("%s %s: gate %d did not know the route %v after it was published", a.path, a.id, a.gate, a.sent.Sub(r.publishedAt[v]))
+		r.addViolation("%s %s: gate %d did not serve the route %v after it was published", a.path, a.id, a.gate, a.sent.Sub(r.publishedAt[v]))
 	case a.status == http.StatusOK && late(v+1):
-		r.addViolation("%s %s: gate %d served the route %v after it was taken away", a.path, a.id, a.gate, a.sent.Sub(r.publishedAt[v+1]))
+		r.addViolation("%s %s: gate %d served the route %v after it was withdrawn", a.path, a.id, a.gate, a.sent.Sub(r.publishedAt[v+1]))
 	}
 }
--- a/measure/soak/hush.go
+++ b/measure/soak/hush.go
@@ -9,43 +9,46 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// Hush makes the store silent for a moment, or the connections of one gate to it for good.
+// SilenceStore makes the store silent for a short time, or the connections of one gate to
+// it permanently.
 const SilenceStore Kind = "hush"
 
-// Hushing has a store that falls silent for a moment, again and again, while engines join
-// and leave.
+// Hushing has a store that repeatedly becomes silent for a short time while engines join
+// and drain.
 const Hushing Play = "hushing"
 
-// How the connections fare in a silence.
+// What happens to the connections during a silence.
 const (
 	silenceOnly = "open"
-	// hushCut cuts them as it begins, hushHalf half way and hushOften all the time.
+	// silenceCutAtStart cuts them when the silence begins, silenceCutHalfway in its middle
+	// and silenceCutRepeatedly all the time.
 	silenceCutAtStart    = "cut"
 	silenceCutHalfway    = "half"
 	silenceCutRepeatedly = "often"
-	// hushConns makes those of one gate silent for good, while new ones work.
+	// silenceConns makes those of one gate silent permanently, while new ones work.
 	silenceConns = "connections"
 )
 
 const (
-	// shortestHush and longestHush bound a silence, hushApart the time between two.
+	// minStoreSilence and maxStoreSilence bound the length of a silence, maxSilenceGap the
+	// time between two.
 	minStoreSilence = 100 * time.Millisecond
 	maxStoreSilence = 1500 * time.Millisecond
 	maxSilenceGap   = 4 * time.Second
-	// hushCutEvery lies between two cuts.
+	// silenceCutPeriod is the time between two cuts.
 	silenceCutPeriod = 130 * time.Millisecond
-	// hushSlack is how long beyond the bound for leaving engines requests may still reach
-	// one, counted anew from the end of each silence.
+	// silenceDrainSlack is how long beyond drainBound requests may still reach a draining
+	// engine, counted again from the end of each silence.
 	silenceDrainSlack = time.Second
 )
 
 var (
 	silenceVariants = []string{silenceOnly, silenceCutAtStart, silenceCutAtStart, silenceCutHalfway, silenceCutRepeatedly, silenceConns}
-	// hushingKinds is what goes on beside the silences.
+	// hushingKinds are the steps beside the silences.
 	hushingKinds = []Kind{DrainEngine, DrainEngine, DrainEngine, AddEngine, AddEngine, PublishConfig, Reload}
 )
 
-// newHushing draws silences one after the other, and planned work beside them.
+// newHushing draws consecutive silences and planned steps beside them.
 func newHushing(rng *rand.Rand, length time.Duration) []Step {
 	var steps []Step
 	for at := time.Second; at < length-quiet; {
@@ -62,10 +65,10 @@
 	return steps
 }
 
-// span is a stretch of time.
+// interval is a period of time.
 type interval struct{ from, until time.Time }
 
-// hush plays a silence.
+// silenceStore carries out a SilenceStore step.
 func (w *deployment) silenceStore(s Step) {
 	from := time.Now()
 	defer func() {
@@ -95,8 +98,8 @@
 	time.Sleep(time.Until(end))
 }
 
-// mayGet returns until when requests may still reach an engine that was published as
-// leaving at a time.
+// drainDeadline returns until when requests may still reach an engine that was published as
+// draining at the given time.
 func (r *record) drainDeadline(left time.Time) time.Time {
 	if len(r.storeSilences) == 0 {
 		if r.lastDisturbance.After(left) {
--- a/measure/soak/judge.go
+++ b/measure/soak/judge.go
@@ -12,39 +12,40 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// asked is one request of a caller and what became of it.
+// request is a request of a caller and its outcome.
 type request struct {
 	gate int
 	id   string
 	path string
 	key  string
-	// marked is the body of a request that ends engines, "" for others.
+	// crashBody is the body of a request that crashes engines, "" for others.
 	crashBody string
-	// tokens is the most that may come out, 0 if the request does not tell.
+	// tokens is the maximum number of output tokens that the request states, 0 if it states
+	// none.
 	tokens      int
 	sent, ended time.Time
-	// status is 0 if there was no head of an answer.
+	// status is 0 if no response head arrived.
 	status int
-	// gaveUp is true when the caller's patience was over.
+	// gaveUp reports whether the caller's timeout expired.
 	gaveUp bool
-	// by is how the caller sent it.
+	// proto is how the caller sent it.
 	proto proto
-	// end is how the answer ended for the caller by its framing, "" if it did not begin.
+	// ending is how the response ended by its framing, "" if none began.
 	ending framing.Completeness
-	// whole is true when the answer is told as complete, or ended with its connection and is
-	// the request's own.
+	// complete is true if the framing marks the response as complete, or if the response
+	// ended with its connection and has the expected body.
 	complete bool
-	// own is true when the body is the whole of the request's own answer; body is empty
-	// then. bytes is how long it was.
+	// bodyMatches is true if the body is the expected one; body is empty then. bytes is its
+	// length.
 	bodyMatches bool
 	bytes       int
 	body        string
 	signature   string
-	// fault is what the frames must not have had, "" if they were sound.
+	// fault is an error in the framing, "" if there is none.
 	fault string
 }
 
-// repeatable reports whether the request may run more than once.
+// retryable reports whether the request may run more than once.
 func (a request) retryable() bool {
 	return strings.HasPrefix(a.path, "/safe/") || strings.HasPrefix(a.path, "/v/") || strings.HasPrefix(a.path, "/resume/")
 }
@@ -55,7 +56,7 @@
 
 func (a request) longStream() bool { return strings.HasPrefix(a.path, longPath) }
 
-// deadline is what the caller tells, and what the route allows.
+// deadline is the deadline that the caller sends and that the route allows.
 func (a request) deadline() time.Duration {
 	if a.longStream() {
 		return standin.LongTimeout
@@ -63,14 +64,14 @@
 	return requestTimeout
 }
 
-// leaving reports whether a gate refused the request since it was stopping.
+// refusedDraining reports whether a gate refused the request because it was stopping.
 func (a request) refusedDraining() bool {
 	return a.status == http.StatusServiceUnavailable && a.signature == "" && strings.Contains(a.body, `"reason":"leaving"`)
 }
 
-// want is the whole answer to a request.
+// wantBody returns the complete body of the response to a request.
 func (a request) wantBody() string {
-	if strings.HasSuffix(a.path, longPlain) {
+	if strings.HasSuffix(a.path, longPlainSuffix) {
 		return "for " + a.id + longPlainRest
 	}
 	if !a.stream() {
@@ -87,37 +88,38 @@
 	return b.String()
 }
 
-// record is what callers and engines saw.
+// record holds what callers and engines observed.
 type record struct {
 	mu       sync.Mutex
 	requests []request
-	// leaving is the bound for leaving engines.
+	// drainBound limits how long new requests may still reach a draining engine.
 	drainBound time.Duration
-	// left has when engines were published as leaving, revoked when keys were
-	// taken away, disturbed when the last trouble was over.
+	// drainedAt is when an engine was published as draining, revokedAt when a key was
+	// revoked, lastDisturbance the end of the last disturbance.
 	drainedAt       map[string]time.Time
 	revokedAt       map[string]time.Time
 	lastDisturbance time.Time
 	ended           time.Time
-	// published has when each version was.
+	// publishedAt is when each config version was published.
 	publishedAt map[int]time.Time
-	// stops has when gates were told to stop, troubles what may excuse a cut.
+	// stops are the planned stops of gates; disturbances may excuse a broken response.
 	stops        []plannedStop
 	disturbances []disturbance
-	// kills are those of gates that were told to stop and did not in time. They excuse no cut.
+	// lateKills are kills of gates that did not stop within their grace period. They excuse
+	// no broken response.
 	lateKills []disturbance
-	// hushes are the silences of a hushing play, one after the other.
+	// storeSilences are the silences of a hushing play, in order.
 	storeSilences []interval
-	// restarted are the engines that started again, and still serve.
+	// restarted are the engines that restarted and still serve.
 	restarted map[string]bool
-	// decoys are engines that only entries of another writer named.
+	// decoys are engines that only foreign entries name.
 	decoys []*standin.Engine
-	// excused counts cuts around a planned stop that break no promise.
+	// excused counts responses that a planned stop was allowed to break.
 	excused    int
 	violations []string
 }
 
-func (r *record) add(a request) {
+func (r *record) addRequest(a request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests = append(r.requests, a)
@@ -135,17 +137,17 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// Slack of the judgement for what one machine adds.
+// Allowances for running everything on one machine.
 const (
-	// leaveSlack is how long beyond the bound for leaving engines requests may still reach
-	// one after it was published, and the last trouble over: the time to find back to the
+	// drainSlack is how long beyond drainBound requests may still reach a draining engine
+	// after it was published and the last disturbance ended: the time to reconnect to the
 	// store, and a second.
 	drainSlack = 4 * time.Second
-	// recovered is the end of a run in which requests must be served again.
+	// recoveryWindow is the end of a run in which requests must be served again.
 	recoveryWindow = 2500 * time.Millisecond
 )
 
-// judge holds what was seen against the promises.
+// judge checks the observations against the guarantees.
 func (r *record) judge(engines []*standin.Engine, services []string, gateStarts int) {
 	ran, reached := map[string][]*standin.Run{}, map[string]bool{}
 	for _, e := range engines {
@@ -158,8 +160,8 @@
 	}
 	r.addCrashDisturbances(engines)
 	served, late := 0, 0
-	// failed counts the last requests that were not served by status, 0 where
-	// there was no whole answer.
+	// failed counts, by status, the requests of the recovery window that were not served; 0
+	// stands for an incomplete response.
 	failed := map[int]int{}
 	for _, a := range r.requests {
 		r.judgeRequest(a, ran[a.id])
@@ -168,9 +170,9 @@
 			r.judgeStop(a)
 		}
 		r.judgeVersion(a)
-		// Of the routes of versions half are gone.
+		// Half of the version routes have been withdrawn.
 		_, ofVersion := a.version()
-		if a.sent.After(r.ended.Add(-recoveryWindow)) && a.key == keyKept && !ofVersion && a.crashBody == "" {
+		if a.sent.After(r.ended.Add(-recoveryWindow)) && a.key == keyValid && !ofVersion && a.crashBody == "" {
 			late++
 			if a.status == http.StatusOK && a.complete {
 				served++
@@ -201,7 +203,7 @@
 	r.judgeCrashingRequests(engines)
 	for _, e := range r.decoys {
 		if n := len(e.Runs()); n > 0 {
-			r.addViolation("%d requests reached %s, which only entries of another writer named", n, e.ID())
+			r.addViolation("%d requests reached %s, which only foreign entries name", n, e.ID())
 		}
 	}
 }
@@ -209,17 +211,17 @@
 func (r *record) judgeRequest(a request, runs []*standin.Run) {
 	if a.status == http.StatusOK && a.complete {
 		if a.ending == framing.Complete && !a.bodyMatches {
-			r.addViolation("%s %s: got %.200q as a whole answer of %d bytes, want its own", a.path, a.id, a.body, a.bytes)
+			r.addViolation("%s %s: got %.200q as a complete response of %d bytes, want the response to this request", a.path, a.id, a.body, a.bytes)
 		}
 		if !strings.HasSuffix(a.signature, "-"+a.id) {
-			r.addViolation("%s %s: got signature %q of another answer", a.path, a.id, a.signature)
+			r.addViolation("%s %s: got signature %q of another response", a.path, a.id, a.signature)
 		}
 	}
 	if !a.retryable() && len(runs) > 1 {
 		r.addViolation("%s %s ran %d times", a.path, a.id, len(runs))
 	}
 	if statusMeansNotRun(a.status) && !a.retryable() && len(runs) > 0 {
-		r.addViolation("%s %s: got %d, which says not run, and it ran", a.path, a.id, a.status)
+		r.addViolation("%s %s: got status %d, which means that it did not run, but it ran", a.path, a.id, a.status)
 	}
 	if at, ok := r.revokedAt[a.key]; ok && a.sent.After(at.Add(revocationBound)) && len(runs) > 0 {
 		r.addViolation("%s %s ran with a key that was revoked %v before it was sent", a.path, a.id, a.sent.Sub(at))
@@ -233,11 +235,11 @@
 	return "api"
 }
 
-// judgeBudget looks at each window that ends with a repeat, which is an
-// arrival at a service beyond the first of a request. The requests of the
-// window, or of one that lies a half or a whole before it, bound the repeats.
+// judgeBudget checks the retry budget. A retry is an arrival of a request at a service
+// after its first. The retries in each window that ends with a retry are bounded by the
+// requests of that window, or of the window that lies a half or a whole window earlier.
 func (r *record) judgeBudget(service string, engines []*standin.Engine, services []string, gateStarts int) {
-	var requests, repeats []time.Time
+	var requests, retries []time.Time
 	for _, a := range r.requests {
 		if a.service() == service {
 			requests = append(requests, a.sent)
@@ -253,24 +255,24 @@
 	}
 	for _, times := range byID {
 		slices.SortFunc(times, time.Time.Compare)
-		repeats = append(repeats, times[1:]...)
+		retries = append(retries, times[1:]...)
 	}
 	slices.SortFunc(requests, time.Time.Compare)
-	slices.SortFunc(repeats, time.Time.Compare)
-	for _, end := range repeats {
+	slices.SortFunc(retries, time.Time.Compare)
+	for _, end := range retries {
 		n := 0
 		for _, before := range []time.Duration{0, retryWindow / 2, retryWindow} {
 			n = max(n, within(requests, end.Add(-before)))
 		}
-		got := within(repeats, end)
-		if most := int(retryRatio*float64(n)) + min(retryExtra, gateStarts*extraPerGate); got > most {
-			r.addViolation("budget of %s: %d repeats in %v of %d requests, want at most %d", service, got, retryWindow, n, most)
+		got := within(retries, end)
+		if limit := int(retryRatio*float64(n)) + min(retryExtra, gateStarts*extraPerGate); got > limit {
+			r.addViolation("retry budget of %s: got %d retries in %v for %d requests, want at most %d", service, got, retryWindow, n, limit)
 			return
 		}
 	}
 }
 
-// within counts the sorted times of the window that ends at end.
+// within counts the sorted times in the retryWindow that ends at end.
 func within(times []time.Time, end time.Time) int {
 	from, _ := slices.BinarySearchFunc(times, end.Add(-retryWindow), time.Time.Compare)
 	to, _ := slices.BinarySearchFunc(times, end.Add(1), time.Time.Compare)
@@ -293,7 +295,7 @@
 	until := r.drainDeadline(at)
 	for _, run := range e.Runs() {
 		if run.ArrivedAt.After(until) {
-			r.addViolation("%s reached %s %v after it was published as leaving", run.ID, e.ID(), run.ArrivedAt.Sub(at))
+			r.addViolation("%s reached %s %v after it was published as draining", run.ID, e.ID(), run.ArrivedAt.Sub(at))
 			return
 		}
 	}
--- a/measure/soak/judge_stop.go
+++ b/measure/soak/judge_stop.go
@@ -7,17 +7,17 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// stopped is a planned stop of a gate.
+// plannedStop is a planned stop of a gate.
 type plannedStop struct {
 	gate int
-	// at is when it was told, gone when its process had ended.
+	// signaledAt is when the stop signal was sent, exitedAt when the process had exited.
 	signaledAt, exitedAt time.Time
 }
 
-// trouble is what was not planned.
+// disturbance is an unplanned fault.
 type disturbance struct {
 	kind Kind
-	// gate is the number of the only gate that it could reach, or everyGate.
+	// gate is the only gate that it can affect, or everyGate.
 	gate        int
 	from, until time.Time
 }
@@ -42,22 +42,22 @@
 	r.lateKills = append(r.lateKills, t)
 }
 
-// Bounds of the promise that a planned stop cuts nothing, as the users have
-// them for a grace of 8 s, in parts of the soak's grace.
+// Bounds of the guarantee that a planned stop breaks no response. They are specified for a
+// grace period of 8 s and scaled to that of the soak.
 const (
-	// stopReach is how long after a stop a cut is laid to it.
+	// stopReach is how long after a stop a broken response is attributed to it.
 	stopReach = standin.Grace + time.Second
-	// lateSent is 3 s of 8: what was sent no later and runs on in the last sixth
-	// of the grace may be cut then.
+	// lateSent is 3 s of the 8 s: requests that were sent no later and still run in the
+	// last sixth of the grace period may be broken then.
 	lateSent  = standin.Grace * 3 / 8
 	lastSixth = standin.Grace * 5 / 6
-	// troubleReach is how long a trouble may still be felt.
+	// disturbanceReach is how long a disturbance may still have an effect.
 	disturbanceReach = 3 * time.Second
 )
 
-// judgeStop holds a request that reached an engine against the promise that
-// planned stops cut no answer. Engines that broke off are troubles; a caller
-// that gave up, and an answer that took as long as it may, are not counted.
+// judgeStop checks the guarantee that planned stops break no response, for a request that
+// reached an engine. Responses that engines broke count as disturbances; requests whose
+// caller gave up or whose response took the longest permitted time do not count.
 func (r *record) judgeStop(a request) {
 	if a.complete || a.gaveUp || a.ended.Sub(a.sent) >= a.deadline() {
 		return
@@ -71,30 +71,31 @@
 		return
 	}
 	at := r.stops[i].signaledAt
-	r.addViolation("%s %s was cut by gate %d %v after it was told to stop: status %d, %d bytes of %d, sent %v after the stop",
+	r.addViolation("%s %s was broken by gate %d %v after its stop signal: status %d, %d of %d bytes, sent %v after the signal",
 		a.path, a.id, a.gate, a.ended.Sub(at), a.status, a.bytes, len(a.wantBody()), a.sent.Sub(at))
 }
 
-// reaches reports whether the request was sent to the process that was stopped
-// and ended around its stop. The next stop of the gate may follow its end at
-// once, before the caller has seen the cut.
+// overlaps reports whether the request was sent to the stopped process and ended around its
+// stop. The next stop of the gate may follow the exit at once, before the caller detects
+// the broken connection.
 func (s plannedStop) overlaps(a request) bool {
 	return s.gate == a.gate && !a.sent.After(s.exitedAt) && !a.ended.Before(s.signaledAt) && a.ended.Before(s.signaledAt.Add(stopReach))
 }
 
-// allows reports whether the request came early and was still running when the
-// grace was nearly over.
+// excuses reports whether the request was sent early and still ran when the grace period
+// was nearly over.
 func (s plannedStop) excuses(a request) bool {
 	return !a.sent.After(s.signaledAt.Add(lateSent)) && !a.ended.Before(s.signaledAt.Add(lastSixth))
 }
 
-// troubled reports whether a trouble could be felt from before the request
-// until its end.
+// disturbed reports whether a disturbance could affect the request, from shortly before it
+// was sent until its end.
 func (r *record) disturbed(a request) bool {
 	return slices.ContainsFunc(r.disturbances, func(t disturbance) bool { return t.affects(a) })
 }
 
-// felt reports whether the trouble could be felt from before the request until its end.
+// affects reports whether the disturbance could affect the request, from shortly before it
+// was sent until its end.
 func (t disturbance) affects(a request) bool {
 	return (t.gate == everyGate || t.gate == a.gate) && t.from.Before(a.ended) && t.until.After(a.sent.Add(-disturbanceReach))
 }
--- a/measure/soak/play.go
+++ b/measure/soak/play.go
@@ -9,11 +9,11 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// restartSlack is how long a single restart may wait for one that came before:
-// it is over before the last requests, which must be served.
+// restartSlack is how long a single restart may wait for an earlier one. Such a restart
+// ends before the recovery window, in which requests must be served.
 const restartSlack = time.Second
 
-// play carries out the schedule.
+// runSteps carries out the schedule.
 func (w *deployment) runSteps() {
 	begin := time.Now()
 	w.quietFrom = begin.Add(w.cfg.Length - quiet)
@@ -33,7 +33,7 @@
 	time.Sleep(time.Until(begin.Add(w.cfg.Length)))
 }
 
-// as returns the kind of trouble that a step is to each gate that it reaches.
+// disturbanceKind returns what the step is to each gate that it affects.
 func (s Step) disturbanceKind() Kind {
 	if s.Kind == AllGates && s.Variant == allKilled {
 		return Kill
@@ -41,8 +41,7 @@
 	return s.Kind
 }
 
-// struck returns the number of the only gate that a trouble can reach, or
-// everyGate.
+// affectedGate returns the number of the only gate that a step can affect, or everyGate.
 func (w *deployment) affectedGate(s Step) int {
 	switch s.Kind {
 	case Kill, Pause, Suspend, StoreLink, SilentStoreConns, Revoke:
@@ -51,8 +50,7 @@
 	return everyGate
 }
 
-// stopSeries stops gates that follow on one another, each again within a
-// second of its return.
+// stopSeries stops consecutive gates, and each again within a second of its return.
 func (w *deployment) stopSeries(s Step) {
 	var wg sync.WaitGroup
 	for i := range min(s.Count, len(w.gates)) {
@@ -79,7 +77,7 @@
 	wg.Wait()
 }
 
-// strike begins a trouble, and ends it.
+// apply carries out a step and returns when its effect ends.
 func (w *deployment) apply(s Step) {
 	g := w.gates[s.Index%len(w.gates)]
 	w.mu.Lock()
@@ -146,18 +144,18 @@
 		time.Sleep(s.Duration)
 		w.setAll(w.behave(""))
 	case DrainEngine:
-		w.leave(i)
+		w.drainEngine(i)
 	case AddEngine:
-		// Without an engine more the run goes on.
-		_ = w.join([]string{"llm", "api"}[s.Index%2])
+		// The run continues without another engine.
+		_ = w.addEngine([]string{"llm", "api"}[s.Index%2])
 	case PublishConfig:
-		w.publish()
+		w.publishConfig()
 	case GrowConfig:
-		w.grow(s.Count)
+		w.growConfig(s.Count)
 	case RestartEngines:
 		w.restartEngines(s)
 	case ForeignEntry:
-		w.foreign(i, s)
+		w.publishForeign(i, s)
 	case Revoke:
 		g.store.SetFault(proxy.Cut)
 		w.revoke()
@@ -166,12 +164,12 @@
 	}
 }
 
-// revoke takes a key away, once.
+// revoke revokes keyRevoked. Only the first call counts.
 func (w *deployment) revoke() {
 	w.mu.Lock()
 	w.revoked = true
 	w.mu.Unlock()
-	w.publish()
+	w.publishConfig()
 	w.rec.mu.Lock()
 	defer w.rec.mu.Unlock()
 	if _, again := w.rec.revokedAt[keyRevoked]; !again {
@@ -187,15 +185,15 @@
 	}
 }
 
-// leave publishes that an engine leaves, unless it is one of the first, which
-// keep the services alive.
-func (w *deployment) leave(i int) {
+// leave publishes an engine as draining, unless it is one of the first engines, which keep
+// the services available.
+func (w *deployment) drainEngine(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if i < firstEngines {
 		return
 	}
-	w.list(i, "draining")
+	w.publishEngine(i, "draining")
 	w.rec.mu.Lock()
 	defer w.rec.mu.Unlock()
 	delete(w.rec.restarted, w.engines[i].ID())
--- a/measure/soak/process.go
+++ b/measure/soak/process.go
@@ -19,27 +19,27 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// gate is one process.
+// gate is one gate process.
 type gate struct {
 	cfg          Config
 	settingsFile string
-	callers      string
-	peers        string
+	callersAddr  string
+	peersAddr    string
 	store        *proxy.Link
 	logs         *os.File
 	number       int
 	rec          *record
 
-	// restarting makes overlapping restarts one after the other.
+	// restarting serializes restarts.
 	restarting sync.Mutex
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// done is closed when the present process has ended.
+	// exited is closed when the current process has exited.
 	exited chan struct{}
 	starts int
 	closed bool
-	// suspended is for how long the gate was suspended in all, guarded by restarting.
+	// suspended is the total time for which the gate was suspended, guarded by restarting.
 	suspended time.Duration
 }
 
@@ -61,34 +61,33 @@
 		}
 		addrs = append(addrs, a)
 	}
-	g := &gate{cfg: cfg, settingsFile: filepath.Join(cfg.Dir, fmt.Sprintf("gate-%d.toml", i)), callers: addrs[0], peers: addrs[2], store: l, number: i, rec: rec}
+	g := &gate{cfg: cfg, settingsFile: filepath.Join(cfg.Dir, fmt.Sprintf("gate-%d.toml", i)), callersAddr: addrs[0], peersAddr: addrs[2], store: l, number: i, rec: rec}
 	boot.Number, boot.Seeds, boot.Store = i, seeds, l.Addr()
 	boot.Callers, boot.Readiness, boot.Peers = addrs[0], addrs[1], addrs[2]
 	if err := os.WriteFile(g.settingsFile, []byte(standin.SettingsText(boot)), 0o600); err != nil {
 		return nil, err
 	}
-	// One of a run before counts for nothing.
+	// A file of an earlier run does not count.
 	_ = os.Remove(g.suspensionFile())
 	g.logs, err = os.Create(strings.TrimSuffix(g.settingsFile, ".toml") + ".log")
 	return g, err
 }
 
-// Ports of gates lie below those that the system hands out to connections that
-// are opened: one of these could take a gate's port while it is restarted.
+// Ports of gates lie below the ephemeral ports: an outgoing connection could take the port
+// of a gate that is restarting.
 const (
 	firstPort = 12_000
 	lastPort  = 32_000
 )
 
-// nextPort is the port to be tried next; runs of other processes most likely
-// begin elsewhere.
+// nextPort is the next port to try. It starts at random, so that concurrent runs most
+// likely use other ports.
 var nextPort = struct {
 	sync.Mutex
 	n int
 }{n: firstPort + rand.IntN(lastPort-firstPort)}
 
-// freeAddr returns an address that nobody listens on and that is given to no
-// other gate.
+// unusedAddr returns an address that no one listens on and that no other gate has.
 func unusedAddr() (string, error) {
 	nextPort.Lock()
 	defer nextPort.Unlock()
@@ -103,10 +102,10 @@
 			return addr, ln.Close()
 		}
 	}
-	return "", fmt.Errorf("no free port from %d to %d: %w", firstPort, lastPort, err)
+	return "", fmt.Errorf("no unused port from %d to %d: %w", firstPort, lastPort, err)
 }
 
-// begin starts the process and does not wait until it listens.
+// start starts the process and does not wait until it listens.
 func (g *gate) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,27 +123,27 @@
 	g.starts++
 	go func() {
 		defer close(done)
-		// The rest of how it ended is in its log.
+		// Further details of the exit are in the log of the process.
 		if err := cmd.Wait(); err != nil {
-			fmt.Fprintf(g.logs, "soak: gate-%d ended: %v\n", g.number, err)
+			fmt.Fprintf(g.logs, "soak: gate-%d exited: %v\n", g.number, err)
 		}
 	}()
 	return nil
 }
 
-// signal sends a signal to the present process.
+// signal sends a signal to the current process.
 func (g *gate) signal(s syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd != nil {
-		// A process that has ended needs no signal.
+		// A process that has exited needs no signal.
 		_ = g.cmd.Process.Signal(s)
 	}
 }
 
-// restart ends the process by a signal and starts it again, unless its turn
-// comes later than by: restarts wait for one another, and a gate that returns
-// at the end of the run says nothing of recovery.
+// restart ends the process by a signal and starts it again. Restarts wait for each other;
+// one that could only begin after the time by does nothing, since a gate that returns at
+// the end of the run says nothing about recovery.
 func (g *gate) restart(s syscall.Signal, by time.Time) {
 	g.restarting.Lock()
 	defer g.restarting.Unlock()
@@ -167,25 +166,25 @@
 	if s == syscall.SIGTERM {
 		g.rec.addStop(plannedStop{gate: g.number, signaledAt: at, exitedAt: time.Now()})
 	}
-	// The next trouble or the judgement shows a gate that did not start.
+	// A gate that fails to start shows in the next step or in the checks.
 	_ = g.start()
 }
 
-// reload has the process read its settings again. One that has not told yet that it
-// started does not catch signals, and would end by this one.
+// reload makes the process read its settings again. A process that has not logged its start
+// yet does not catch SIGHUP and would be terminated by it.
 func (g *gate) reload() {
 	g.mu.Lock()
 	starts := g.starts
 	g.mu.Unlock()
-	// A log that cannot be read shows no start.
-	told, _ := os.ReadFile(g.logs.Name())
-	if bytes.Count(told, []byte("msg=started ")) == starts {
+	// If the log cannot be read, the process counts as not started.
+	log, _ := os.ReadFile(g.logs.Name())
+	if bytes.Count(log, []byte("msg=started ")) == starts {
 		g.signal(syscall.SIGHUP)
 	}
 }
 
-// restartLimit is when a process is killed that was told to stop. The grace is
-// its own to keep, so a second is added.
+// stopTimeout is when a process that was asked to stop is killed. The process must keep its
+// grace period itself, so a second is added.
 const stopTimeout = standin.Grace + time.Second
 
 func (g *gate) close() {
@@ -199,6 +198,6 @@
 		<-done
 	}
 	g.store.Close()
-	// The log has been written by the process.
+	// The process has written its log.
 	_ = g.logs.Close()
 }
--- a/measure/soak/schedule.go
+++ b/measure/soak/schedule.go
@@ -10,7 +10,7 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// Kind is a sort of trouble or of planned work.
+// Kind is a kind of step, either a disturbance or planned work.
 type Kind string
 
 const (
@@ -20,61 +20,60 @@
 	Reload     Kind = "reload"
 	StoreFault Kind = "store"
 	Compact    Kind = "compact"
-	// StoreLink and EngineLink are faults of the way to the store, and to an
-	// engine.
+	// StoreLink and EngineLink are faults of the connection to the store or to an engine.
 	StoreLink  Kind = "store_link"
 	EngineLink Kind = "engine_link"
-	// Engine makes an engine misbehave.
+	// EngineFault makes an engine misbehave.
 	EngineFault Kind = "engine"
-	// Engines makes all engines misbehave alike.
+	// AllEnginesFault makes all engines misbehave alike.
 	AllEnginesFault Kind = "engines"
 	DrainEngine     Kind = "leave"
 	AddEngine       Kind = "join"
 	PublishConfig   Kind = "publish"
-	// Revoke takes a key away while one gate is cut from the store.
+	// Revoke revokes a key while one gate is disconnected from the store.
 	Revoke Kind = "revoke"
-	// Roll stops all gates one after the other.
+	// RollingStop stops all gates one after the other.
 	RollingStop Kind = "roll"
 	// Series stops some gates, and each of them again soon after its return.
 	Series Kind = "series"
-	// SilentStore and SilentEngine make connections that are open silent for
-	// good, without a reset, while new ones work.
+	// SilentStoreConns and SilentEngineConns make open connections silent permanently,
+	// without a reset, while new ones work.
 	SilentStoreConns  Kind = "silent_store"
 	SilentEngineConns Kind = "silent_engine"
-	// Grow publishes more routes.
+	// GrowConfig publishes more routes.
 	GrowConfig Kind = "grow"
-	// Again makes engines crash and start again under the ids that they have.
+	// RestartEngines makes engines crash and restart under the same IDs.
 	RestartEngines Kind = "again"
-	// Copy has the store come back from an older copy, in a new era.
+	// RestoreStore restores the store from an older copy, in a new epoch.
 	RestoreStore Kind = "copy"
-	// Suspend suspends a gate's instance.
+	// Suspend suspends the instance of a gate.
 	Suspend Kind = "suspend"
-	// Foreign puts an entry of another writer on the list, new and in place of an
+	// ForeignEntry publishes entries of a foreign writer, a new one and one in place of an
 	// engine's.
 	ForeignEntry Kind = "foreign"
 )
 
-// Play says what is drawn from a seed and how long answers are.
+// Play is a kind of schedule, which also decides how long responses are.
 type Play string
 
 const (
-	// Even has troubles of many kinds, and streams of one length.
+	// Even has disturbances of many kinds, and streams of equal length.
 	Even Play = "even"
-	// Planned has planned work alone, and streams of very unequal length.
+	// Planned has only planned work, and streams of very unequal length.
 	Planned Play = "planned"
-	// Mixed has troubles of all kinds, and streams of very unequal length.
+	// Mixed has disturbances of all kinds, and streams of very unequal length.
 	Mixed Play = "mixed"
-	// Growing has settings that grow to a megabyte and change often, over links to
-	// the store that are slow.
+	// Growing has a config that grows to a megabyte and changes often, over slow links to
+	// the store.
 	Growing Play = "growing"
-	// Restarting has troubles of all kinds, and engines that start again under their
-	// ids beside entries of other writers.
+	// Restarting has disturbances of all kinds, engines that restart under the same IDs,
+	// and entries of foreign writers.
 	Restarting Play = "restarting"
-	// Ending has requests that end the engines which begin them, beside troubles of
-	// gates and of the store.
+	// Ending has requests that crash the engines which run them, and disturbances of gates
+	// and of the store.
 	Ending Play = "ending"
-	// Copying has a store that comes back from older copies, and suspended instances,
-	// beside troubles of all kinds.
+	// Copying has a store that is restored from older copies, suspended instances, and
+	// disturbances of all kinds.
 	Copying Play = "copying"
 )
 
@@ -83,39 +82,39 @@
 
 func (p Play) hasLongStreams() bool { return p == Planned || p == Mixed }
 
-// How the stops of a series lie to one another.
+// How the stops of a series overlap.
 const (
 	together    = "together"
 	overlapping = "overlapping"
 	inTurn      = "in_turn"
 )
 
-// kinds is drawn from evenly; what stands twice comes twice as often.
+// kinds are drawn with equal probability; a kind that is listed twice is twice as likely.
 var kinds = []Kind{
 	Kill, Pause, Stop, Reload, StoreFault, Compact, StoreLink, StoreLink, EngineLink, EngineFault, EngineFault, EngineFault, EngineFault, AllEnginesFault, DrainEngine, DrainEngine, AddEngine, PublishConfig, Revoke,
 }
 
-// mixedKinds is drawn from in a mixed play.
+// mixedKinds are the steps of a mixed play.
 var mixedKinds = slices.Concat(kinds, []Kind{Series, Series, Series, SilentStoreConns, SilentStoreConns, SilentEngineConns, SilentEngineConns})
 
-// plannedKinds is what goes on besides the stops of a planned play.
+// plannedKinds are the steps of a planned play beside the stops.
 var plannedKinds = []Kind{Reload, PublishConfig, AddEngine, DrainEngine, Compact}
 
-// Step is one trouble of a schedule.
+// Step is one step of a schedule.
 type Step struct {
 	Start    time.Duration
 	Duration time.Duration
 	Kind     Kind
-	// Who is the number of the gate or engine that it strikes.
+	// Index is the number of the affected gate or engine, modulo how many there are.
 	Index int
-	// How is the variant, "" where there is one only.
+	// Variant is "" for kinds without variants.
 	Variant string
-	// Many is how many gates or connections it strikes where that may be several,
-	// and Again how often each gate of a series is stopped once more.
+	// Count is how many gates, engines or connections are affected by kinds that can affect
+	// several, and Repeats how often each gate of a series is stopped again.
 	Count, Repeats int
 }
 
-// planned reports whether it is work that no promise is excused by.
+// planned reports whether the step is planned work, which excuses no violation.
 func (s Step) planned() bool {
 	switch s.Kind {
 	case Stop, RollingStop, Series, Reload, DrainEngine, AddEngine, PublishConfig, Compact, GrowConfig:
@@ -124,7 +123,7 @@
 	return false
 }
 
-// disturbs reports whether a gate may know less of engines while it lasts.
+// disturbs reports whether a gate may have outdated data of engines during the step.
 func (s Step) disturbs() bool {
 	switch s.Kind {
 	case Pause, AllGates, Suspend, StoreFault, Compact, RestoreStore, StoreLink, SilentStoreConns, Revoke:
@@ -133,7 +132,7 @@
 	return false
 }
 
-// String returns the step as it stands in reports.
+// String returns the step as reports show it.
 func (s Step) String() string {
 	text := fmt.Sprintf("%v for %v: %s %s on %d", s.Start, s.Duration, s.Kind, s.Variant, s.Index)
 	if s.Count > 0 {
@@ -151,8 +150,8 @@
 	engineVariants     = []string{"refuse", "reset", "cut", "extra", "older", "unframed", "garbage", "slow", "error"}
 )
 
-// newSchedule draws the troubles of a run. They overlap, and end quiet before
-// the run does, so that recovery can be judged.
+// newSchedule draws the steps of a run. They overlap, and end before the last part of the
+// run, so that recovery can be checked.
 func newSchedule(seed uint64, length time.Duration, play Play) []Step {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	switch play {
@@ -216,16 +215,16 @@
 		steps = append(steps, roll)
 	}
 	if play == Restarting {
-		// After the last restart of a gate, so that the gates that were told that all
-		// engines leave go on to the end.
+		// This comes after the last restart of a gate, so that the gates which received the
+		// draining of all engines run until the end.
 		steps = append(steps, Step{Start: length - lastRestartBeforeEnd, Kind: RestartEngines, Duration: shortestStep, Variant: drainsFirst, Count: maxIndex})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.Start - b.Start) })
 	return steps
 }
 
-// newPlanned draws stops, the first of them within a second of the start of the
-// gates, and some other planned work.
+// newPlanned draws stops, the first of them within a second of the start of the gates, and
+// some other planned work.
 func newPlanned(rng *rand.Rand, length time.Duration) []Step {
 	steps := []Step{newSeries(rng, time.Duration(rng.Int64N(int64(time.Second))))}
 	for range 1 + rng.IntN(maxSeries) {
@@ -239,11 +238,11 @@
 	return steps
 }
 
-// groups is how many gates are stopped. All comes twice: while none serves in
-// their place, stopping gates take what may end in time.
+// seriesGroups is how many gates are stopped. All gates are listed twice: while no other
+// gate serves, stopping gates admit what may end in time.
 var seriesGroups = []int{1, 2, maxIndex, maxIndex}
 
-// newSeries draws stops of one gate, of two or of all.
+// newSeries draws stops of one gate, two gates or all gates.
 func newSeries(rng *rand.Rand, at time.Duration) Step {
 	s := Step{Start: at, Kind: Series, Index: rng.IntN(maxIndex), Variant: seriesVariants[rng.IntN(len(seriesVariants))], Repeats: rng.IntN(maxRepeats + 1)}
 	s.Duration = shortestStep + time.Duration(rng.Int64N(int64(time.Second-shortestStep)))
@@ -252,32 +251,31 @@
 }
 
 const (
-	// mostSeries bounds the series after the first of a planned play, mostOther
-	// the other planned work, maxRepeats how often a gate is stopped again, and
-	// mostSilent how many connections fall silent at a time.
+	// maxSeries limits the series after the first of a planned play, maxOther the other
+	// planned work, maxRepeats how often a gate is stopped again, and maxSilentConns how
+	// many connections become silent at a time.
 	maxSeries      = 3
 	maxOther       = 5
 	maxRepeats     = 2
 	maxSilentConns = 3
-	// stepsPerSecond is in tenths: 25 troubles begin in ten seconds.
+	// 25 steps begin in ten seconds.
 	stepsPerTenSeconds = 25
-	// whoMost bounds the numbers of gates and engines that are struck; they
-	// are taken modulo what there is.
+	// maxIndex bounds Step.Index.
 	maxIndex = 64
-	// rollEvery is how many seeds lie between two that stop all gates in turn. It
-	// is drawn last, so the other seeds play what they did before it was known.
+	// rollEvery is the distance of seeds that stop all gates in turn. The step is drawn
+	// last, so that all other seeds keep their schedules.
 	rollEvery = 3
-	// longestGap bounds the time between two stops, with shortestStep added.
+	// longestGap, plus shortestStep, limits the time between two stops.
 	longestGap = 1500 * time.Millisecond
-	// longestCut is longer than the bound for revoked keys.
+	// longestCut exceeds the bound for revoked keys.
 	longestCut = 9 * time.Second
-	// quiet is the end of a run in which no trouble is begun.
+	// quiet is the end of a run in which no step begins.
 	quiet = 9 * time.Second
-	// lastRestartBeforeEnd is before the end: gates take news of the list a second later, twice,
-	// and requests must be served in the last of it.
+	// lastRestartBeforeEnd is the distance of the last restart from the end: gates apply
+	// changes of the list a second later, twice, and requests must be served in the rest.
 	lastRestartBeforeEnd = 5200 * time.Millisecond
 	shortestStep         = 300 * time.Millisecond
 	longestStep          = 4 * time.Second
-	// firstEngines is how many engines each service has at the start.
+	// firstEngines is the number of engines of each service at the start.
 	firstEngines = 4
 )
--- a/measure/soak/shrink.go
+++ b/measure/soak/shrink.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Shrink looks for a smaller schedule on which a promise breaks too, within
-// the given number of runs. A run that breaks by timing may not break again;
-// then the schedule stays as it was.
+// Shrink searches for a smaller schedule that also violates a guarantee, with at most the
+// given number of runs. A violation that depends on timing may not occur again; the
+// schedule then stays as it is.
 func Shrink(ctx context.Context, broken Report, runs int) Report {
 	for part := 2; part <= len(broken.Config.Steps) && runs > 0; {
 		smaller, ok := dropOne(ctx, broken, part, &runs)
@@ -20,8 +20,8 @@
 	return broken
 }
 
-// dropOne leaves out each of the given number of parts in turn, and returns
-// the first run that is still broken.
+// dropOne leaves out each of the given number of parts in turn, and returns the first run
+// with a violation.
 func dropOne(ctx context.Context, broken Report, parts int, runs *int) (Report, bool) {
 	steps := broken.Config.Steps
 	size := (len(steps) + parts - 1) / parts
--- a/measure/soak/soak.go
+++ b/measure/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs gates as processes of their own against the stand-ins of
-// the platform, strikes them with troubles that are drawn from a seed, and
-// judges by what callers and engines saw whether the promises held.
+// Package soak runs gates as separate processes against stand-ins of the platform, disturbs
+// them by a schedule drawn from a seed, and checks by the observations of callers and
+// engines whether the guarantees held.
 package soak
 
 import (
@@ -16,68 +16,69 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// Config is one run.
+// Config describes a run.
 type Config struct {
 	Seed   uint64
 	Length time.Duration
-	// Play says what is drawn from the seed, "" for Even.
+	// Play is the kind of schedule, "" for Even.
 	Play Play
-	// Gates is how many processes are run.
+	// Gates is the number of processes.
 	Gates int
-	// Binary and Env start weldfall.
+	// Binary and Env are the program and the environment that start weldfall.
 	Binary string
 	Env    []string
-	// Dir is for settings files and logs.
+	// Dir holds settings files and logs.
 	Dir string
-	// Steps is the schedule, nil for the one that the seed draws.
+	// Steps is the schedule; if nil, it is drawn from the seed.
 	Steps []Step
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Config   Config
 	Requests int
 	Served   int
-	// Refused counts what gates refused since they were stopping.
+	// Refused counts requests that stopping gates refused.
 	Refused int
-	// Excused counts answers cut around a planned stop that break no promise.
+	// Excused counts responses that a planned stop was allowed to break.
 	Excused int
-	// Broken has the promises that did not hold.
+	// Violations are the guarantees that did not hold.
 	Violations []string
 }
 
-// String returns the summary in one line.
+// String returns a summary in one line.
 func (r Report) String() string {
 	return fmt.Sprintf("seed=%d play=%s gates=%d steps=%d requests=%d served=%d refused_leaving=%d cut_excused=%d broken=%d",
 		r.Config.Seed, r.Config.Play, r.Config.Gates, len(r.Config.Steps), r.Requests, r.Served, r.Refused, r.Excused, len(r.Violations))
 }
 
-// Figures of the deployment that is run.
+// Parameters of the deployment.
 const (
 	host            = "soak.example"
 	workspace       = "ws-1"
-	keyKept         = "key-kept"
+	keyValid        = "key-kept"
 	keyRevoked      = "key-revoked"
 	revocationBound = 4 * time.Second
 	retryRatio      = 0.2
 	retryExtra      = 96
 	retryWindow     = 3 * time.Second
 	extraPerGate    = retryExtra / 32
-	// More gates than manyGates share the list of engines, if the bound for leaving ones
-	// leaves them the time: it is leavingOfMany there, and leavingOfFew among fewer.
+	// With more than manyGates gates, the gates share reads of the engine list if the bound
+	// for draining engines leaves enough time: it is drainBoundManyGates there, and
+	// drainBoundFewGates with fewer.
 	manyGates           = 32
 	drainBoundManyGates = 4 * time.Second
 	drainBoundFewGates  = 2 * time.Second
 	streamEvents        = 12
 	eventPause          = 15 * time.Millisecond
 	callers             = 3
-	// askTimeout is the deadline that callers tell, and callerPatience is after
-	// how long they give up.
+	// requestTimeout is the deadline that callers send, and callerPatience the time after
+	// which they give up.
 	requestTimeout = 3 * time.Second
 	callerPatience = 8 * time.Second
 )
 
-// leavingFor returns the bound for leaving engines among so many gates.
+// drainBoundFor returns the bound for draining engines for a number of gates.
 func drainBoundFor(gates int) time.Duration {
 	if gates > manyGates {
 		return drainBoundManyGates
@@ -85,7 +86,7 @@
 	return drainBoundFewGates
 }
 
-// world is a deployment that runs.
+// deployment is a running set of processes, engines and a store.
 type deployment struct {
 	cfg   Config
 	store *standin.Store
@@ -93,24 +94,25 @@
 	gates []*gate
 	ctx   context.Context
 	wg    sync.WaitGroup
-	// quietFrom is when no more trouble is begun.
+	// quietFrom is the time from which no disturbance starts.
 	quietFrom time.Time
 
-	// copying makes returns of the store one after the other.
+	// restoring serializes restores of the store.
 	restoring sync.Mutex
 
 	mu      sync.Mutex
 	engines []*standin.Engine
-	// services has the service of each engine, links the way to it.
+	// services has the service of each engine, links the proxy in front of it.
 	services []string
 	links    []*proxy.Link
 	version  int
 	revoked  bool
-	// idle is how many routes there are that nobody asks for.
+	// idle is the number of routes without requests.
 	idle int
 }
 
-// Run plays one schedule and judges it.
+// Run carries out one schedule and checks the guarantees. It fails if the processes cannot
+// be started; violations are in the report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	if cfg.Play == "" {
 		cfg.Play = Even
@@ -129,7 +131,7 @@
 	}
 	defer w.stop()
 	w.runSteps()
-	// Answers that run on say nothing of recovery.
+	// Responses that continue from here say nothing about recovery.
 	w.rec.ended = time.Now()
 	cancel()
 	w.wg.Wait()
@@ -157,19 +159,19 @@
 	}
 	for range firstEngines {
 		for _, service := range []string{"llm", "api"} {
-			if err := w.join(service); err != nil {
+			if err := w.addEngine(service); err != nil {
 				return err
 			}
 		}
 	}
-	w.publish()
+	w.publishConfig()
 	var seeds []string
 	for i := range w.cfg.Gates {
 		g, err := newGate(w.cfg, i, storeAddr, seeds, w.rec)
 		if err != nil {
 			return err
 		}
-		seeds = append(seeds, g.peers)
+		seeds = append(seeds, g.peersAddr)
 		w.gates = append(w.gates, g)
 	}
 	for i, g := range w.gates {
@@ -229,8 +231,8 @@
 	}
 }
 
-// join starts an engine and lists it.
-func (w *deployment) join(service string) error {
+// join starts an engine and publishes it.
+func (w *deployment) addEngine(service string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e, err := standin.NewEngine(fmt.Sprintf("i-%d", len(w.engines)), w.behave(""))
@@ -243,17 +245,17 @@
 	}
 	w.engines, w.services, w.links = append(w.engines, e), append(w.services, service), append(w.links, l)
 	i := len(w.engines) - 1
-	w.list(i, "ready")
+	w.publishEngine(i, "ready")
 	e.OnRestart(func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.list(i, w.rec.state(e.ID()))
+		w.publishEngine(i, w.rec.state(e.ID()))
 	})
 	return nil
 }
 
 // list publishes an engine's state. The caller holds mu.
-func (w *deployment) list(i int, state string) {
+func (w *deployment) publishEngine(i int, state string) {
 	addr := w.links[i].Addr()
 	if w.cfg.Play == Ending {
 		addr = w.engines[i].Addr()
@@ -262,25 +264,26 @@
 }
 
 // publish writes the next version of the config.
-func (w *deployment) publish() {
+func (w *deployment) publishConfig() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
 	w.putConfig()
-	w.rec.publish(w.version)
+	w.rec.addVersion(w.version)
 }
 
-// putConfig writes the present version. The caller holds mu.
+// putConfig writes the current version. The caller holds mu.
 func (w *deployment) putConfig() {
-	keys := []string{keyKept, keyRevoked}
+	keys := []string{keyValid, keyRevoked}
 	if w.revoked {
 		keys = keys[:1]
 	}
 	w.store.PutConfig(standin.Config{Version: w.version, Host: host, Workspace: workspace, Keys: keys, UnusedRoutes: w.idle})
 }
 
-// behave returns how an engine answers: well, or in the given way now and then.
-func behave(way string) func(standin.Run) standin.Reply {
+// behave returns the behavior of an engine: correct, or for some requests as the variant
+// says.
+func behave(variant string) func(standin.Run) standin.Reply {
 	return func(run standin.Run) standin.Reply {
 		p := standin.Reply{Body: "for " + run.ID, Load: "1,0,8"}
 		if strings.HasPrefix(run.URI, "/chat/") || strings.HasPrefix(run.URI, "/resume/") {
@@ -289,13 +292,13 @@
 		if strings.HasPrefix(run.URI, longPath) {
 			p = standin.Reply{Events: longEvents(run.ID, run.Tokens()), Pause: longPause, Load: "1,0,8"}
 		}
-		if strings.HasSuffix(run.URI, longPlain) {
+		if strings.HasSuffix(run.URI, longPlainSuffix) {
 			p.Body += longPlainRest
 		}
-		if way == "" || run.ID == "" || run.ID[len(run.ID)-1]%2 == 0 {
+		if variant == "" || run.ID == "" || run.ID[len(run.ID)-1]%2 == 0 {
 			return p
 		}
-		switch way {
+		switch variant {
 		case "refuse":
 			p.Refuse = true
 		case "reset":
@@ -315,7 +318,7 @@
 		case "error":
 			p = standin.Reply{Status: http.StatusInternalServerError, Body: "oops"}
 		default:
-			p = breakReply(way, run, p)
+			p = breakReply(variant, run, p)
 		}
 		return p
 	}
--- a/measure/soak/weldsoak/main.go
+++ b/measure/soak/weldsoak/main.go
@@ -1,12 +1,10 @@
-// Weldsoak runs soaks with fresh or given seeds and prints a line for each. A
-// broken promise ends it with the seed, the smallest schedule that was found
-// and the place of the logs.
+// Weldsoak runs soaks with random or given seeds and prints a line for each. A violated
+// guarantee ends it with the seed, the smallest schedule that was found and the directory
+// of the logs.
 //
-// Without --play the seeds take turns: every second is a planned play, every eighth one of
-// settings that grow and one of engines that start again, every sixteenth one of all
-// troubles, one of answers that break off and one of requests that end engines, every
-// thirty-second one of copies of the store, every sixty-fourth one of engines that fail, and
-// the rest one of silent stores.
+// Without --play the seeds alternate between plays: every second seed is planned, every
+// eighth growing and one restarting, every sixteenth mixed, one breaking and one ending,
+// every thirty-second copying, every sixty-fourth failing, and the others are hushing.
 package main
 
 import (
@@ -31,12 +29,12 @@
 
 type args struct {
 	Seed      uint64  `arg:"--seed" help:"seed of the first run; 0 draws one"`
-	Minutes   float64 `arg:"--minutes" default:"1" help:"how long seeds are tried"`
-	Seconds   int     `arg:"--seconds" default:"20" help:"length of one run, 15 at least"`
-	Processes int     `arg:"--processes" default:"4" help:"gates, 1 to 200"`
-	Play      string  `arg:"--play" help:"even, planned, mixed, growing, restarting, ending, copying, hushing, failing or breaking; the last nine in turn if empty"`
-	Shrink    int     `arg:"--shrink" default:"16" help:"runs that look for a smaller schedule once a promise broke"`
-	Dir       string  `arg:"--dir" help:"where settings files and logs are kept, made if it is missing; a temporary one if empty"`
+	Minutes   float64 `arg:"--minutes" default:"1" help:"time in minutes for which new seeds are run"`
+	Seconds   int     `arg:"--seconds" default:"20" help:"length of one run in seconds, at least 15"`
+	Processes int     `arg:"--processes" default:"4" help:"number of gates, 1 to 200"`
+	Play      string  `arg:"--play" help:"even, planned, mixed, growing, restarting, ending, copying, hushing, failing or breaking; if empty, seeds alternate between all but the first"`
+	Shrink    int     `arg:"--shrink" default:"16" help:"maximum number of runs that search for a smaller schedule after a violation"`
+	Dir       string  `arg:"--dir" help:"directory for settings files and logs, created if missing; temporary if empty"`
 }
 
 func main() {
@@ -88,7 +86,7 @@
 	return nil
 }
 
-// play returns what is drawn from a seed.
+// play returns the play of a seed.
 func (a args) play(seed uint64) soak.Play {
 	switch {
 	case a.Play != "":
@@ -113,18 +111,18 @@
 	return soak.Hushing
 }
 
-// place returns the folder for settings files and logs, and makes it.
+// makeDir creates and returns the directory for settings files and logs.
 func makeDir(dir string) (string, error) {
 	if dir == "" {
 		return os.MkdirTemp("", "weldsoak")
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return "", fmt.Errorf("--dir: the folder for settings files and logs cannot be made: %w; name one in a place that can be written, or leave --dir out", err)
+		return "", fmt.Errorf("--dir: cannot create the directory for settings files and logs: %w; pass a directory in a writable place or omit --dir", err)
 	}
 	return dir, nil
 }
 
-// tell prints what broke and the smallest schedule on which it does.
+// reportViolations prints the violations and the smallest schedule that reproduces one.
 func reportViolations(ctx context.Context, r soak.Report, runs int) error {
 	for _, b := range r.Violations {
 		fmt.Println("  broken:", b)
@@ -133,5 +131,5 @@
 	for _, s := range small.Config.Steps {
 		fmt.Println("  step:", s)
 	}
-	return fmt.Errorf("seed %d, play %s: %d promises broken; logs in %s", r.Config.Seed, r.Config.Play, len(r.Violations), r.Config.Dir)
+	return fmt.Errorf("seed %d, play %s: %d violations; logs in %s", r.Config.Seed, r.Config.Play, len(r.Violations), r.Config.Dir)
 }
