--- a/measure/load/client.go
+++ b/measure/load/client.go
@@ -14,7 +14,7 @@
 	"github.com/weldfall/weldfall/engines/events"
 )
 
-// message is one message of a chat.
+// message is a message of a chat.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
@@ -32,7 +32,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// reply is what came back for one request.
+// response is the result of one request.
 type response struct {
 	status   int
 	verdict  string
@@ -42,7 +42,7 @@
 	prompt   int
 	cached   int
 	tokens   int
-	// firstMicros, totalMicros are since the request was sent.
+	// firstMicros and totalMicros are measured from the start of the request.
 	firstMicros, totalMicros int64
 	// gapMicros is the mean time between tokens.
 	gapMicros int64
@@ -67,10 +67,10 @@
 	} `json:"error"`
 }
 
-// maxError bounds an error body in bytes.
+// maxErrorBytes limits the size of an error body.
 const maxErrorBytes = 64 << 10
 
-// ask sends one streamed chat turn and reads the whole answer.
+// sendTurn sends one streamed chat turn and reads the complete response.
 func sendTurn(ctx context.Context, h *http.Client, clk *clock.Clock, url, key string, q chatRequest) response {
 	body, err := json.Marshal(q)
 	if err != nil {
@@ -108,7 +108,7 @@
 	for {
 		ev, err := in.Next()
 		if err != nil {
-			r.err = fmt.Errorf("the stream ended without its end mark: %w", err)
+			r.err = fmt.Errorf("the stream ended without its end marker: %w", err)
 			break
 		}
 		if string(ev.Data) == "[DONE]" {
--- a/measure/load/load.go
+++ b/measure/load/load.go
@@ -18,21 +18,20 @@
 	"github.com/weldfall/weldfall/measure/trace"
 )
 
-// Config sets up a load. Rate and Duration bound it.
+// Config describes a load, which Rate and Duration limit.
 type Config struct {
 	// URLs are the entries; requests go to them in turn.
 	URLs []string
-	// Pages are admin addresses of entries, for skew and control bytes.
+	// AdminURLs are the admin addresses of entries, used for skew and control bytes.
 	AdminURLs []string
-	// Keys are the bearer keys of the workspaces, the large ones first.
+	// Keys are the bearer keys of the workspaces, in descending order of load.
 	Keys  []string
 	Model string
 	Shape Shape
-	// Rate is requests a second, opening and returning turns together.
+	// Rate is in requests per second, opening and returning turns together.
 	Rate     float64
 	Duration clock.Millis
-	// MaxInFlight bounds the open requests; arrivals beyond it are counted
-	// and dropped.
+	// MaxInFlight limits the open requests; arrivals beyond it are counted and dropped.
 	MaxInFlight int
 	Seed        uint64
 	Clock       *clock.Clock
@@ -44,25 +43,26 @@
 	Dropped  int            `json:"dropped"`
 	Complete int            `json:"whole"`
 	Verdicts map[string]int `json:"verdicts"`
-	// Reasons counts failures by reason or transport error.
+	// Reasons counts failures by reason, "transport" for transport errors.
 	Reasons map[string]int `json:"reasons,omitempty"`
-	// Reuse is the cached share of the tokens that earlier turns left.
+	// Reuse is the cached share of the tokens of earlier turns.
 	Reuse     float64 `json:"reuse"`
 	Returning int     `json:"returning"`
 	// Latencies are in milliseconds.
 	FirstToken    Latency `json:"first_token"`
 	BetweenTokens Latency `json:"between_tokens"`
 	Total         Latency `json:"total"`
-	// Skew is the highest load of an engine over the mean of its pool, as
-	// the entries see it, while the mean is at least one request.
+	// Skew is the ratio of the highest to the mean load of the engines of a pool, as
+	// reported by an entry, while the mean is at least one request.
 	SkewP50 float64 `json:"skew_p50"`
 	SkewP99 float64 `json:"skew_p99"`
 	SkewMax float64 `json:"skew_max"`
-	// ControlBytesPerSecond is by kind, of the first page's process.
+	// ControlBytesPerSecond is by direction and kind, for the process of the first admin
+	// URL.
 	ControlBytesPerSecond map[string]float64 `json:"control_bytes_per_second,omitempty"`
 }
 
-// Latency is percentiles in milliseconds.
+// Latency holds percentiles in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -81,11 +81,11 @@
 	return Latency{ms(50), ms(95), ms(99)}
 }
 
-// chatState is one chat between its turns.
+// chatState is a chat between its turns.
 type chatState struct {
 	id, turn, workspace int
 	messages            []message
-	// left is the prompt and answer of the latest turn, in tokens.
+	// previousTokens is the size of the prompt and response of the latest turn.
 	previousTokens int
 	returnAt       clock.Millis
 }
@@ -107,10 +107,11 @@
 	first, between, total, skew *hdrhistogram.Histogram
 }
 
-// Run sends the load and returns what came back with the recorded arrivals.
+// Run sends the load and returns a report and the recorded arrivals. It fails if the
+// configuration lacks an entry, a key, a rate or a duration.
 func Run(ctx context.Context, cfg Config) (Report, []trace.Turn, error) {
 	if len(cfg.URLs) == 0 || len(cfg.Keys) == 0 || cfg.Rate <= 0 || cfg.Duration <= 0 {
-		return Report{}, nil, fmt.Errorf("load: needs an entry, a key, a rate and a duration")
+		return Report{}, nil, fmt.Errorf("load: the configuration needs a URL, a key, a rate and a duration")
 	}
 	t := &http.Transport{MaxIdleConnsPerHost: cfg.MaxInFlight, MaxIdleConns: 0}
 	defer t.CloseIdleConnections()
@@ -134,8 +135,8 @@
 	return r.rep, r.turns, nil
 }
 
-// arrive sends turns at the rate, as a Poisson process: a chat that is due to
-// return if there is one, else a new one.
+// sendArrivals sends turns at the rate, as a Poisson process. Each turn belongs to a chat
+// that is due to return if there is one, else to a new chat.
 func (r *runner) sendArrivals(ctx context.Context, start clock.Millis) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -245,9 +246,9 @@
 	}
 }
 
-// WriteText writes the report for a person.
+// WriteText writes the report as text.
 func (r Report) WriteText(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "requests        %d, %d whole, %d dropped by the client\nverdicts        %v %v\ncache reuse     %.1f%% of %d returning turns' shared tokens\nfirst token     p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nbetween tokens  p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\ntotal           p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nskew            p50 %.2f  p99 %.2f  max %.2f\ncontrol B/s     %v\n",
+	_, err := fmt.Fprintf(w, "requests        %d, %d complete, %d dropped by the client\nverdicts        %v %v\ncache reuse     %.1f%% of %d returning turns' shared tokens\nfirst token     p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nbetween tokens  p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\ntotal           p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nskew            p50 %.2f  p99 %.2f  max %.2f\ncontrol B/s     %v\n",
 		r.Requests, r.Complete, r.Dropped, r.Verdicts, r.Reasons, 100*r.Reuse, r.Returning,
 		r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.BetweenTokens.P50, r.BetweenTokens.P95, r.BetweenTokens.P99,
 		r.Total.P50, r.Total.P95, r.Total.P99, r.SkewP50, r.SkewP99, r.SkewMax, roundAll(r.ControlBytesPerSecond))
@@ -267,7 +268,7 @@
 	return b.String()
 }
 
-// chatHeap orders chats by the time of their return.
+// chatHeap orders chats by the time of their next turn.
 type chatHeap []*chatState
 
 var _ heap.Interface = (*chatHeap)(nil)
--- a/measure/load/shape.go
+++ b/measure/load/shape.go
@@ -1,5 +1,5 @@
-// Package load sends a bounded load of chats that return, and reports what
-// came back: latency, cache reuse, verdicts, skew and control traffic.
+// Package load sends a limited load of chats with several turns, and reports latency, cache
+// reuse, verdicts, skew and control traffic.
 package load
 
 import (
@@ -11,30 +11,29 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Shape is a partner's way of chatting.
+// Shape describes the chats of a partner.
 type Shape struct {
-	// OpeningTokens and TurnTokens are medians of the first and the later
-	// messages of a user, in tokens.
+	// OpeningTokens and TurnTokens are the median sizes of the first and of later user
+	// messages.
 	OpeningTokens, TurnTokens int
-	// OutputLow and OutputHigh bound the answers, in tokens.
+	// MinOutputTokens and MaxOutputTokens bound the size of responses.
 	MinOutputTokens, MaxOutputTokens int
-	// Pause is the median time until a chat returns.
+	// MedianPause is the median time until the next turn of a chat.
 	MedianPause clock.Millis
-	// Return is the probability that a chat returns after a turn.
+	// ReturnProbability is the probability that a chat has another turn.
 	ReturnProbability float64
-	// Spread is the sigma of the log-normal sizes and pauses.
+	// Sigma is the sigma of the log-normal sizes and pauses.
 	Sigma float64
 }
 
-// Shapes are the two partners' ways: long site reports and revisions, and
-// short dispatcher questions. Pauses are shortened so that a run of minutes
-// has chats that return.
+// Shapes are the two partners' shapes: long site reports and revisions, and short
+// dispatcher questions. Pauses are shortened so that runs of minutes have returning chats.
 var Shapes = map[string]Shape{
 	"planning": {OpeningTokens: 2400, TurnTokens: 250, MinOutputTokens: 40, MaxOutputTokens: 120, MedianPause: 20_000, ReturnProbability: 0.85, Sigma: 0.8},
 	"vigia":    {OpeningTokens: 240, TurnTokens: 60, MinOutputTokens: 15, MaxOutputTokens: 50, MedianPause: 12_000, ReturnProbability: 0.8, Sigma: 0.7},
 }
 
-// maxPromptTokens bounds a chat, which ends beyond it.
+// maxPromptTokens limits a chat; it ends with a longer prompt.
 const maxPromptTokens = 16_000
 
 func (s Shape) lognormal(r *rand.Rand, median float64) float64 {
@@ -53,10 +52,10 @@
 	return clock.Millis(min(20*float64(s.MedianPause), s.lognormal(r, float64(s.MedianPause))))
 }
 
-// workspace picks one of n with a few large ones (Zipf).
+// workspace picks a workspace from a Zipf distribution, so that a few are large.
 func workspace(z *rand.Zipf) int { return int(z.Uint64()) }
 
-// text returns n tokens of about four bytes each.
+// randomText returns n tokens of about four bytes each.
 func randomText(r *rand.Rand, n int) string {
 	var b strings.Builder
 	b.Grow(4 * n)
--- a/measure/load/watch.go
+++ b/measure/load/watch.go
@@ -10,13 +10,13 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// skewScale keeps three decimals of a ratio in an integer histogram.
+// skewScale stores ratios with three decimals in an integer histogram.
 const skewScale = 1000
 
-// watchPeriod is how often the engines' loads are read.
+// watchPeriod is how often the loads of the engines are read.
 const watchPeriod clock.Millis = 250
 
-// watchSkew reads the engines' loads from the pages until ctx is done.
+// watchSkew reads the loads of the engines from the admin page until ctx is done.
 func (r *runner) watchSkew(ctx context.Context) {
 	if len(r.cfg.AdminURLs) == 0 {
 		return
@@ -28,7 +28,8 @@
 	})
 }
 
-// skews returns highest over mean of each pool whose mean is at least one.
+// skewRatios returns the ratio of the highest to the mean load for each pool whose mean is
+// at least one.
 func (r *runner) skewRatios() []float64 {
 	var engines []struct {
 		Pool     string `json:"pool"`
@@ -69,7 +70,7 @@
 	return string(b)
 }
 
-// controlBytes reads the control bytes by direction and kind.
+// controlBytes returns the control bytes by direction and kind.
 func (r *runner) controlBytes() map[string]float64 {
 	out := map[string]float64{}
 	if len(r.cfg.AdminURLs) == 0 {
--- a/measure/replay/alone.go
+++ b/measure/replay/alone.go
@@ -9,17 +9,17 @@
 	"github.com/weldfall/weldfall/measure/trace"
 )
 
-// Alone runs the choice of package engines: each entry sends by what it believes, no
-// process stands beside an engine, and loads come with the heads of answers and from
+// EntriesOnly uses the engine selection of package engines: each entry routes by its own
+// view, no process runs beside an engine, and loads arrive with response heads and from
 // other entries.
 type EntriesOnly struct {
-	// Moves lets the chosen engine have what the choice names as a source keeps of
-	// the chat, at no cost in time.
+	// PrefixTransfer copies the cached prefix of the chat from the engine that the
+	// selection names as the source, at no cost in time.
 	PrefixTransfer bool
 
 	registries []*engines.Registry
 	rnd        *rand.Rand
-	// talked is when entries last told each other of loads.
+	// lastGossip is when entries last exchanged loads.
 	lastGossip clock.Millis
 }
 
@@ -32,13 +32,13 @@
 }
 
 const (
-	// aloneTries is how many engines a turn is sent to at most.
+	// entriesOnlyMaxTries is the maximum number of engines that a turn is sent to.
 	entriesOnlyMaxTries = 6
-	// talkPeriod is how often entries tell each other of loads, freshLoad how old
-	// word of one may be.
+	// loadGossipPeriod is how often entries exchange loads, maxLoadAge the maximum age of a
+	// load that they pass on.
 	loadGossipPeriod clock.Millis = 400
 	maxLoadAge       clock.Millis = 2000
-	// muchSilence is longer than any turn: engines of a replay do not fall silent.
+	// silenceLimit is longer than any turn: engines of a replay are never silent.
 	silenceLimit clock.Millis = 1 << 40
 )
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// talk has each entry tell all others what it knows of loads.
+// gossipLoads makes each entry report the loads that it knows to all others.
 func (a *EntriesOnly) gossipLoads(p *pool) {
 	for i, from := range a.registries {
 		for _, l := range from.RecentLoads(maxLoadAge, p.cfg.Engines, p.now) {
@@ -109,7 +109,8 @@
 	return nil, len(q.Tried)
 }
 
-// copyTo brings another engine what this one keeps of a chat, if that is more.
+// copyPrefix copies the cached prefix of a chat to another engine if it is longer than the
+// one there.
 func (e *engine) copyPrefix(to *engine, chat int) {
 	if n := e.cache.size[chat]; !e.stopped && n > to.cache.size[chat] {
 		to.cache.put(chat, n)
--- a/measure/replay/policy.go
+++ b/measure/replay/policy.go
@@ -8,12 +8,12 @@
 	"github.com/weldfall/weldfall/route"
 )
 
-// Weldfall runs the decisions of package route: each entry with its own view,
-// hints and loads, each daemon with its own book.
+// Weldfall uses the decisions of package route: each entry has its own view, hints and
+// loads, each daemon its own cache index.
 type Weldfall struct {
 	loads []*route.Loads
 	hints []map[int]string
-	// gossip is when the loads were last spread.
+	// lastGossip is when the loads were last distributed.
 	lastGossip clock.Millis
 }
 
@@ -23,7 +23,7 @@
 // maxTries is the default of retry.attempts.
 const maxTries = 8
 
-// gossipPeriod is how often entries hear loads apart from answers.
+// gossipPeriod is how often entries receive loads apart from responses.
 const gossipPeriod clock.Millis = 1000
 
 func (w *Weldfall) prepare(p *pool) {
@@ -89,7 +89,7 @@
 		}
 		switch ans := ans.(type) {
 		case route.Admit:
-			// The load comes with the head of the answer.
+			// The load arrives with the response head.
 			loads.Sample(e.id, e.running+1, p.now)
 			return e, len(tries) + 1
 		case route.Redirect:
@@ -101,8 +101,8 @@
 	}
 }
 
-// passOn hands the freshest loads on, as requests and answers do; that of the
-// engine itself comes apart.
+// shareLoads passes on the most recent loads, as requests and responses do. The load of the
+// engine itself is reported separately.
 func (p *pool) shareLoads(from, to *route.Loads, self string) {
 	for _, l := range from.Freshest(route.MaxAttachedLoads, p.now) {
 		if l.Engine != self {
@@ -136,7 +136,7 @@
 	}
 }
 
-// leave hands the cached prefixes to where their chats go next.
+// handOver copies the cached prefixes to the engines that their chats are routed to next.
 func (w *Weldfall) handOver(p *pool, old *engine) {
 	var rest []*engine
 	for _, e := range p.alive() {
@@ -154,10 +154,10 @@
 	}
 }
 
-// AllKnowing sees every cache and load as it is. It sends a chat to where
-// most of it is cached, if that engine is within the bound, else to the least
-// loaded. On a planned leave it moves each prefix to the engine with the most
-// free cache memory.
+// Omniscient sees the actual state of all caches and loads. It sends a chat to the engine
+// with the longest cached prefix of it, if that engine is within the load bound, else to
+// the least loaded. On a planned stop it moves each prefix to the engine with the most free
+// cache memory.
 type Omniscient struct{}
 
 // Name implements Policy.
@@ -201,7 +201,7 @@
 	}
 }
 
-// PlainHash sends every chat to its first ranked engine.
+// PlainHash sends every chat to its first engine in the ranking.
 type PlainHash struct{}
 
 // Name implements Policy.
@@ -214,13 +214,13 @@
 
 func (PlainHash) turnFinished(*pool, int, trace.Turn, *engine) {}
 
-// usable lists what an entry sees and that still runs: the baselines find a
-// dead engine out at once and at no cost.
+// usable returns the engines in an entry's list that still run: the baselines detect a
+// failed engine at once and at no cost.
 func (p *pool) usable(entry int) []*engine {
 	return slices.DeleteFunc(slices.Clone(p.listed[entry]), func(e *engine) bool { return e.stopped })
 }
 
-// RoundRobin takes the engines in turn, at each entry.
+// RoundRobin uses the engines in turn, separately at each entry.
 type RoundRobin struct{ next []int }
 
 // Name implements Policy.
@@ -237,7 +237,7 @@
 
 func (*RoundRobin) turnFinished(*pool, int, trace.Turn, *engine) {}
 
-// LeastReported takes the engine with the least reported load.
+// LeastReported uses the engine with the lowest reported load.
 type LeastReported struct{}
 
 // Name implements Policy.
@@ -253,7 +253,7 @@
 
 func (LeastReported) turnFinished(*pool, int, trace.Turn, *engine) {}
 
-// TwoChoices takes the less loaded, by report, of two random engines.
+// TwoChoices uses the engine with the lower reported load of two random ones.
 type TwoChoices struct{}
 
 // Name implements Policy.
--- a/measure/replay/replay.go
+++ b/measure/replay/replay.go
@@ -1,7 +1,7 @@
-// Package replay drives the routing decisions with recorded arrivals and
-// small fakes of engines, and compares them with baselines: an all-knowing
-// router, plain hashing, round robin, least of reported load and two random
-// choices. It is pure: everything follows from the trace and the seed.
+// Package replay runs routing decisions on recorded arrivals and simulated engines, and
+// compares them with baselines: an omniscient router, plain hashing, round robin, least
+// reported load and two random choices. It is deterministic: the results depend only on the
+// trace, the configuration and the seed.
 package replay
 
 import (
@@ -17,56 +17,57 @@
 	"github.com/weldfall/weldfall/route"
 )
 
-// Config is the pool and its troubles.
+// Config describes the pool and its disturbances.
 type Config struct {
 	Engines, Entries int
 	Slots            int
-	// CacheTokens is the memory of one engine in tokens.
+	// CacheTokens is the cache capacity of one engine in tokens.
 	CacheTokens int
-	// PrefillPerMS and TokenGap give the time that a turn runs.
+	// PrefillTokensPerMS and TokenGap determine how long a turn runs.
 	PrefillTokensPerMS int
 	TokenGap           clock.Millis
-	// Replace is the time between replacements of one engine, zero for none;
-	// Notice is how long before its end an engine is known to leave, zero for
-	// an engine that fails.
+	// ReplacePeriod is the time between replacements of one engine, zero for none;
+	// DrainNotice is how long before its end an engine is known to drain, zero for an
+	// engine that fails.
 	ReplacePeriod, DrainNotice clock.Millis
-	// ListLag is how late entries hear of a change, at most; each change
-	// reaches each entry after a random part of it.
+	// ListLag is the maximum delay of changes of the list; each change reaches each entry
+	// after a random part of it.
 	ListLag clock.Millis
-	// ReportLag is how old the loads are that are not part of an answer.
+	// ReportLag is the age of loads that do not arrive with a response.
 	ReportLag clock.Millis
-	// Bound and Floor are the pool's settings.
+	// Bound and Floor are settings of the pool.
 	Bound float64
 	Floor int
-	// Unequal gives every third engine half the slots.
+	// UnequalSlots gives every third engine half the slots.
 	UnequalSlots bool
-	// HalfGone takes half of the engines away at this time, zero for never.
+	// HalfLostAt is when half of the engines fail, zero for never.
 	HalfLostAt clock.Millis
-	// Split cuts the entries in two groups at this time: each sees only half
-	// of the engines from then on, zero for never.
+	// SplitAt is when the entries are split in two groups, each of which sees only half of
+	// the engines from then on; zero for never.
 	SplitAt clock.Millis
-	// Flap makes one engine leave the list and return every so often.
+	// FlapPeriod is how often one engine leaves the list and returns, zero for never.
 	FlapPeriod clock.Millis
 	Seed       uint64
 }
 
-// Outcome is the measures of one run.
+// Outcome holds the measurements of one run.
 type Outcome struct {
 	Policy string
-	// Reuse is the cached part of the tokens that earlier turns left.
+	// Reuse is the cached share of the tokens of earlier turns.
 	Reuse float64
-	// SkewWorst and SkewP99 are highest over mean load per slot, sampled at
-	// each arrival while the mean is at least one request an engine.
+	// SkewWorst and SkewP99 are the ratio of the highest to the mean load per slot, sampled
+	// at each arrival while the mean is at least one request per engine.
 	SkewWorst, SkewP99 float64
-	// OverBound is the share of samples above the set multiple, allowing for
-	// whole requests.
+	// OverBound is the share of samples in which an engine exceeds the load bound, rounded
+	// to whole requests.
 	OverBound float64
-	// Tries is offers per turn, Shed the share that no engine took.
+	// Tries is the number of offers per turn, Shed the share of turns that no engine
+	// admitted.
 	Tries, Shed float64
 	Turns       int
 }
 
-// eng is one engine as it really is.
+// engine is the actual state of one engine.
 type engine struct {
 	id       string
 	slots    int
@@ -76,9 +77,9 @@
 	stopped  bool
 	draining bool
 	joined   clock.Millis
-	// history has the load at past times for lagged reports.
+	// history holds the load at past times, for delayed reports.
 	history []loadSample
-	// loads is what the daemon beside the engine knows of the others.
+	// loads are the loads of other engines known to the daemon beside this one.
 	loads *route.Loads
 }
 
@@ -91,7 +92,7 @@
 	e.history = append(e.history, loadSample{now, e.running})
 }
 
-// reported returns the load at the given time and drops what is older.
+// reported returns the load at the given time and drops older samples.
 func (e *engine) reported(at clock.Millis) int {
 	i := 0
 	for i+1 < len(e.history) && e.history[i+1].at <= at {
@@ -104,7 +105,7 @@
 	return e.history[0].requests
 }
 
-// lru is the true cache of an engine.
+// lru is the actual cache of an engine.
 type lru struct {
 	capacity, tokens int
 	order            []int
@@ -131,7 +132,7 @@
 	}
 }
 
-// happening is something that takes place at a time.
+// event is an action at a simulated time.
 type event struct {
 	at  clock.Millis
 	seq int
@@ -166,8 +167,8 @@
 	heap.Push(a, event{at, a.seq, do})
 }
 
-// Policy chooses the engine of a turn; nil sheds it. It is one of the types
-// of this package.
+// Policy chooses the engine of a turn; nil sheds the turn. Only types of this package
+// implement it.
 type Policy interface {
 	Name() string
 	choose(p *pool, entry int, t trace.Turn) (e *engine, tries int)
@@ -182,9 +183,9 @@
 	rnd     *rand.Rand
 	engines []*engine
 	events  eventQueue
-	// seen has the engines that each entry knows of, by the list alone.
+	// listed holds the engines that each entry knows from the list alone.
 	listed [][]*engine
-	// views are the same with what weldfall makes of it.
+	// views hold the same engines as weldfall's membership view keeps them.
 	views  []*member.View
 	policy Policy
 	next   int
@@ -192,7 +193,7 @@
 
 func (p *pool) key(t trace.Turn) uint64 { return uint64(t.Chat)*0x9e3779b97f4a7c15 + 1 }
 
-// alive lists the engines that run, leaving ones included.
+// alive returns the engines that run, including draining ones.
 func (p *pool) alive() []*engine {
 	return slices.DeleteFunc(slices.Clone(p.engines), func(e *engine) bool { return e.stopped })
 }
@@ -208,7 +209,7 @@
 	return e
 }
 
-// tell brings a change of the list to each entry after a random lag.
+// notifyEntries applies a change of the list at each entry after a random delay.
 func (p *pool) notifyEntries(change func(entry int)) {
 	for i := range p.listed {
 		lag := clock.Millis(0)
@@ -238,7 +239,7 @@
 // poolName is the only pool of a run.
 const poolName = "pool"
 
-// members lists the engines that an entry may send new work to.
+// candidates returns the engines that an entry may send new work to.
 func (p *pool) candidates(entry int) []*engine {
 	var out []*engine
 	for _, in := range p.views[entry].Candidates(poolName, p.now) {
@@ -247,8 +248,7 @@
 	return out
 }
 
-// replace takes the oldest engine out, with notice if there is any, and
-// brings a new one in.
+// replace removes the oldest engine, with notice if configured, and adds a new one.
 func (p *pool) replace() {
 	p.events.schedule(p.now+p.cfg.ReplacePeriod, p.replace)
 	live := slices.DeleteFunc(p.alive(), func(e *engine) bool { return e.draining })
@@ -267,10 +267,10 @@
 	p.announceListed(p.join())
 }
 
-// handover is a policy that moves cached prefixes on a planned leave.
+// handover is implemented by policies that move cached prefixes on a planned stop.
 type handover interface{ handOver(p *pool, old *engine) }
 
-// troubles schedules what the configuration asks for.
+// scheduleDisturbances schedules the configured disturbances.
 func (p *pool) scheduleDisturbances() {
 	if p.cfg.ReplacePeriod > 0 {
 		p.events.schedule(p.cfg.ReplacePeriod, p.replace)
@@ -365,7 +365,7 @@
 	})
 }
 
-// meter adds up the measures of a run.
+// meter sums up the measurements of a run.
 type meter struct {
 	cfg                           Config
 	turns, tries, shed            int
@@ -373,7 +373,7 @@
 	ratios                        []float64
 }
 
-// sample looks at the true loads of the pool.
+// sample records the actual loads of the pool.
 func (m *meter) sample(p *pool) {
 	total, slots, n := 0, 0, 0
 	for _, e := range p.engines {
--- a/measure/replay/replay_test.go
+++ b/measure/replay/replay_test.go
@@ -12,11 +12,11 @@
 	"github.com/weldfall/weldfall/measure/trace"
 )
 
-// update rewrites the stated outcomes from this run.
+// update rewrites the expected outcomes from this run.
 var update = flag.Bool("update", false, "rewrite testdata/outcomes.json")
 
-// read returns the recorded arrivals of a partner.
-func read(t *testing.T, name string) []trace.Turn {
+// readTurns returns the recorded arrivals of a partner.
+func readTurns(t *testing.T, name string) []trace.Turn {
 	t.Helper()
 	f, err := os.Open("testdata/" + name + ".csv.gz")
 	if err != nil {
@@ -30,17 +30,17 @@
 	return turns
 }
 
-// base is a pool of today's size: 12 engines that give a token each 20 ms,
-// 3 entries, one engine replaced each minute with notice, a list that lags by
-// up to 3 s and load reports that lag by 2 s.
-func base() replay.Config {
+// baseConfig is a pool of 12 engines that generate a token every 20 ms, with 3 entries, one
+// engine replaced each minute with notice, a list delay of up to 3 s and load reports that
+// are 2 s old.
+func baseConfig() replay.Config {
 	return replay.Config{
 		Engines: 12, Entries: 3, Slots: 32, CacheTokens: 400_000, PrefillTokensPerMS: 20, TokenGap: 20,
 		ReplacePeriod: 60_000, DrainNotice: 5000, ListLag: 3000, ReportLag: 2000, Bound: 1.25, Floor: 2, Seed: 1,
 	}
 }
 
-// condition is a trouble of the pool.
+// condition is a variation of the pool.
 type condition struct {
 	name string
 	set  func(c *replay.Config)
@@ -66,12 +66,12 @@
 
 func runAll(t *testing.T, partner string) map[string]map[string]replay.Outcome {
 	t.Helper()
-	turns := read(t, partner)
+	turns := readTurns(t, partner)
 	out := map[string]map[string]replay.Outcome{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, c := range conditions {
-		cfg := base()
+		cfg := baseConfig()
 		c.set(&cfg)
 		byPolicy := map[string]replay.Outcome{}
 		out[c.name] = byPolicy
@@ -90,12 +90,12 @@
 	return out
 }
 
-// partners are the two recorded shapes.
+// partners are the two recorded load shapes.
 var partners = []string{"planning", "vigia"}
 
-// TestRecordedTracesHaveTheirStatedOutcomes replays the recorded arrivals
-// under every condition and compares with the outcomes that are committed.
-func TestRecordedTracesHaveTheirStatedOutcomes(t *testing.T) {
+// TestRecordedTraces replays the recorded arrivals under every condition and compares the
+// results with the committed outcomes.
+func TestRecordedTraces(t *testing.T) {
 	got := map[string]map[string]map[string]replay.Outcome{}
 	for _, p := range partners {
 		got[p] = runAll(t, p)
@@ -127,18 +127,18 @@
 			}
 		}
 	}
-	judge(t, got)
+	checkTargets(t, got)
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// judge holds the outcomes against what is to be reached.
-func judge(t *testing.T, got map[string]map[string]map[string]replay.Outcome) {
+// checkTargets checks the outcomes against the targets.
+func checkTargets(t *testing.T, got map[string]map[string]map[string]replay.Outcome) {
 	t.Helper()
 	for _, p := range partners {
 		w, best := got[p]["replaced each minute"]["weldfall"], got[p]["replaced each minute"]["all-knowing"]
 		if ratio := w.Reuse / best.Reuse; ratio < 0.95 {
-			t.Errorf("%s: got %.3f of the all-knowing router's reuse, want at least 0.95", p, ratio)
+			t.Errorf("%s: got %.3f of the reuse of the omniscient router, want at least 0.95", p, ratio)
 		}
 		for _, c := range conditions {
 			ours := got[p][c.name]["weldfall"]
@@ -147,8 +147,8 @@
 					t.Errorf("%s, %s: got skew %.2f over %.3f, want less than %s, %.2f and %.3f", p, c.name, ours.SkewP99, ours.OverBound, name, other.SkewP99, other.OverBound)
 				}
 			}
-			// With half of the pool dead and the list late, a request may meet
-			// dead engines alone.
+			// With half of the pool failed and a delayed list, all offers of a request may
+			// go to failed engines.
 			if ours.Shed > 0.001 {
 				t.Errorf("%s, %s: got %.4f shed, want at most 0.001", p, c.name, ours.Shed)
 			}
--- a/measure/soak/export_test.go
+++ b/measure/soak/export_test.go
@@ -16,14 +16,15 @@
 	return newSchedule(seed, length, play)
 }
 
-// LongEvents returns how many events answer a request that told so many tokens.
+// LongEvents returns the number of events of the response to a request that states the
+// given number of tokens.
 func LongEvents(id string, tokens int) int { return longEvents(id, tokens) }
 
-// LongTokens is the most that callers tell.
+// LongTokens is the maximum that requests state.
 const LongTokens = longTokens
 
-// CutAnswer is an answer that broke off around a stop at a start.
-type CutAnswer struct {
+// BrokenResponse is a response that broke around a stop at time 0.
+type BrokenResponse struct {
 	Path           string
 	Gate           int
 	Sent, Ended    time.Duration
@@ -32,10 +33,10 @@
 	Trouble, Until time.Duration
 }
 
-// JudgeCut judges one answer against a stop of gate 0 at the start and further
-// ones, and returns how many promises it breaks and how many cuts are excused.
-// Each stopped process is gone after 4.6 s. There is no trouble where Until is 0.
-func JudgeCut(c CutAnswer, again ...time.Duration) (broken, excused int) {
+// JudgeBrokenResponse checks one response against a stop of gate 0 at time 0 and further
+// stops, and returns the number of violations and of excused responses. Each stopped
+// process exits after 4.6 s. There is no disturbance if Until is 0.
+func JudgeBrokenResponse(c BrokenResponse, again ...time.Duration) (broken, excused int) {
 	const takes = 4600 * time.Millisecond
 	start := time.Now()
 	r := &record{stops: []plannedStop{{gate: 0, signaledAt: start, exitedAt: start.Add(takes)}}}
@@ -49,23 +50,25 @@
 	return len(r.violations), r.excused
 }
 
-// EveryGate is a trouble that reaches all gates.
+// EveryGate marks a disturbance that affects all gates.
 const EveryGate = everyGate
 
-// ReadMessage reads an answer as a caller on a plain socket does.
+// ReadMessage reads a response as a caller on a TCP connection does.
 func ReadMessage(answer, by string) (body string, end framing.Completeness, fault string) {
 	m := readMessage(bufio.NewReader(strings.NewReader(answer)), proto(by))
 	return string(m.body), m.ending, m.fault
 }
 
-// WantOf returns the whole answer to request a of a path.
-func WantOf(path string) string { return request{id: "a", path: path}.wantBody() }
+// WantBody returns the complete body of the response to request a for a path.
+func WantBody(path string) string { return request{id: "a", path: path}.wantBody() }
 
-// EndedAnswer is an answer with status 200 to request a, 100 ms after it was sent if Took is
-// 0, and the one run of it. There is no trouble where Until is 0.
-type EndedAnswer struct {
+// EndedResponse is a response with status 200 to request a, which ended 100 ms after the
+// request was sent if Took is 0, and the single run of the request. There is no disturbance
+// if Until is 0.
+type EndedResponse struct {
 	Path, By string
-	// Body is what came, and Sent how much the engine sent: all if they are zero.
+	// Body is the received body, and Sent the number of bytes that the engine sent; zero
+	// values stand for the complete response.
 	Body        string
 	Sent        int
 	End, Ran    framing.Completeness
@@ -74,14 +77,14 @@
 	Took        time.Duration
 	Trouble     Kind
 	From, Until time.Duration
-	// Late is true where the trouble is that a gate was killed that did not stop in time.
+	// Late is true if the disturbance is the kill of a gate that did not stop in time.
 	Late bool
-	// Before is how an earlier run was framed that broke off, "" if there was none.
+	// Before is the framing of an earlier, broken run, "" if there was none.
 	Before framing.Framing
 }
 
-// JudgeEnd returns the promises that the end of an answer breaks.
-func JudgeEnd(c EndedAnswer) []string {
+// JudgeCompleteness returns the violations by the end of a response.
+func JudgeCompleteness(c EndedResponse) []string {
 	start := time.Now()
 	a := request{id: "a", path: cmp.Or(c.Path, "/unsafe/x"), proto: proto(cmp.Or(c.By, "HTTP/1.1")), sent: start, status: http.StatusOK, ending: c.End, signature: "sig-a", fault: c.Fault}
 	a.body = cmp.Or(c.Body, a.wantBody())
@@ -106,5 +109,5 @@
 	return r.violations
 }
 
-// BreakWays are the ways in which engines break.
+// BreakVariants are the ways in which engines end responses.
 var BreakVariants = breakVariants
--- a/measure/soak/frames_test.go
+++ b/measure/soak/frames_test.go
@@ -9,7 +9,7 @@
 	"github.com/weldfall/weldfall/measure/soak"
 )
 
-func TestCallersReadFrames(t *testing.T) {
+func TestReadMessage(t *testing.T) {
 	cases := []struct {
 		name, proto, answer, body string
 		end                       framing.Completeness
@@ -44,49 +44,49 @@
 	}
 }
 
-func TestHowAnswersEndIsHeldAgainstTheirEngines(t *testing.T) {
+func TestJudgeCompleteness(t *testing.T) {
 	const ms = time.Millisecond
-	whole := soak.WantOf("/unsafe/x")
-	killed := soak.EndedAnswer{Trouble: soak.Kill, From: -100 * ms, Until: 200 * ms}
+	whole := soak.WantBody("/unsafe/x")
+	killed := soak.EndedResponse{Trouble: soak.Kill, From: -100 * ms, Until: 200 * ms}
 	for name, c := range map[string]struct {
-		answer soak.EndedAnswer
+		answer soak.EndedResponse
 		broken int
 	}{
-		"complete by both":                        {answer: soak.EndedAnswer{End: framing.Complete, Ran: framing.Complete}},
-		"closed told as complete":                 {answer: soak.EndedAnswer{End: framing.Complete, Ran: framing.Closed}, broken: 1},
-		"incomplete told as complete":             {answer: soak.EndedAnswer{End: framing.Complete, Ran: framing.Incomplete}, broken: 1},
-		"not ended and told as complete":          {answer: soak.EndedAnswer{End: framing.Complete}, broken: 1},
-		"closed by both":                          {answer: soak.EndedAnswer{End: framing.Closed, Ran: framing.Closed}},
-		"incomplete told as closed":               {answer: soak.EndedAnswer{End: framing.Closed, Ran: framing.Incomplete}, broken: 1},
-		"incomplete told as closed to 1.0":        {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Ran: framing.Incomplete}, broken: 1},
-		"complete told as closed":                 {answer: soak.EndedAnswer{End: framing.Closed, Ran: framing.Complete}, broken: 1},
-		"complete told as closed to 1.0":          {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Ran: framing.Complete}},
-		"closed early by both":                    {answer: soak.EndedAnswer{End: framing.Closed, Ran: framing.Closed, Body: whole[:3], Sent: 3}},
-		"closed earlier than by the engine":       {answer: soak.EndedAnswer{End: framing.Closed, Ran: framing.Closed, Body: whole[:3]}, broken: 1},
-		"closed with another body":                {answer: soak.EndedAnswer{End: framing.Closed, Ran: framing.Closed, Body: "xxx", Sent: 3}, broken: 1},
-		"a stream closed early":                   {answer: soak.EndedAnswer{Path: "/chat/x", End: framing.Closed, Ran: framing.Closed, Body: "id: 1\n", Sent: 6}, broken: 1},
-		"incomplete told as such":                 {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Incomplete}},
-		"closed told as incomplete":               {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed}, broken: 1},
-		"closed and another answer":               {answer: soak.EndedAnswer{End: framing.Complete, Ran: framing.Closed, Unsigned: true}, broken: 1},
-		"closed told as incomplete, late":         {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed, Took: 4000 * ms}},
-		"closed told as incomplete, engines' way": {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed, Trouble: soak.BreakResponses, Until: 200 * ms}, broken: 1},
-		"closed told as incomplete, link":         {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Closed, Trouble: soak.EngineLink, Until: 200 * ms}},
-		"a killed gate's end":                     {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Trouble: killed.Trouble, From: killed.From, Until: killed.Until}},
-		"the end of a gate killed at a stop":      {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Body: "for", Trouble: soak.Kill, From: killed.From, Until: killed.Until, Late: true}},
-		"another answer of a killed gate":         {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Body: "xxx", Trouble: soak.Kill, From: killed.From, Until: killed.Until}, broken: 1},
-		"told before a gate was killed":           {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Trouble: soak.Kill, From: 101 * ms, Until: 200 * ms, Late: true}, broken: 1},
-		"a paused gate's end":                     {answer: soak.EndedAnswer{By: "HTTP/1.0", End: framing.Closed, Trouble: soak.Pause, From: killed.From, Until: killed.Until}, broken: 1},
-		"a killed gate's whole answer":            {answer: soak.EndedAnswer{End: framing.Complete, Ran: framing.Closed, Trouble: killed.Trouble, From: killed.From, Until: killed.Until}, broken: 1},
-		"taken up, complete told as closed":       {answer: soak.EndedAnswer{Path: "/resume/x", End: framing.Closed, Ran: framing.Complete, Before: framing.UntilClose}},
-		"taken up from chunks, told as closed":    {answer: soak.EndedAnswer{Path: "/resume/x", End: framing.Closed, Ran: framing.Complete, Before: framing.Chunked}, broken: 1},
-		"taken up in part, told as closed":        {answer: soak.EndedAnswer{Path: "/resume/x", End: framing.Closed, Ran: framing.Complete, Before: framing.UntilClose, Body: "id: 1\n"}, broken: 1},
-		"taken up, closed told as incomplete":     {answer: soak.EndedAnswer{Path: "/resume/x", End: framing.Incomplete, Ran: framing.Closed, Before: framing.Chunked}},
-		"taken up, closed told as complete":       {answer: soak.EndedAnswer{Path: "/resume/x", End: framing.Complete, Ran: framing.Closed, Before: framing.Chunked}, broken: 1},
-		"taken up in 1.0, told as incomplete":     {answer: soak.EndedAnswer{Path: "/resume/x", By: "HTTP/1.0", End: framing.Incomplete, Ran: framing.Closed, Before: framing.Chunked}, broken: 1},
-		"run again, closed told as incomplete":    {answer: soak.EndedAnswer{Path: "/safe/x", End: framing.Incomplete, Ran: framing.Closed, Before: framing.Length}, broken: 1},
-		"frames with a fault":                     {answer: soak.EndedAnswer{End: framing.Incomplete, Ran: framing.Incomplete, Fault: "two lengths"}, broken: 1},
+		"complete by both":                            {answer: soak.EndedResponse{End: framing.Complete, Ran: framing.Complete}},
+		"closed reported as complete":                 {answer: soak.EndedResponse{End: framing.Complete, Ran: framing.Closed}, broken: 1},
+		"incomplete reported as complete":             {answer: soak.EndedResponse{End: framing.Complete, Ran: framing.Incomplete}, broken: 1},
+		"not ended and reported as complete":          {answer: soak.EndedResponse{End: framing.Complete}, broken: 1},
+		"closed by both":                              {answer: soak.EndedResponse{End: framing.Closed, Ran: framing.Closed}},
+		"incomplete reported as closed":               {answer: soak.EndedResponse{End: framing.Closed, Ran: framing.Incomplete}, broken: 1},
+		"incomplete reported as closed to 1.0":        {answer: soak.EndedResponse{By: "HTTP/1.0", End: framing.Closed, Ran: framing.Incomplete}, broken: 1},
+		"complete reported as closed":                 {answer: soak.EndedResponse{End: framing.Closed, Ran: framing.Complete}, broken: 1},
+		"complete reported as closed to 1.0":          {answer: soak.EndedResponse{By: "HTTP/1.0", End: framing.Closed, Ran: framing.Complete}},
+		"closed early by both":                        {answer: soak.EndedResponse{End: framing.Closed, Ran: framing.Closed, Body: whole[:3], Sent: 3}},
+		"closed earlier than by the engine":           {answer: soak.EndedResponse{End: framing.Closed, Ran: framing.Closed, Body: whole[:3]}, broken: 1},
+		"closed with another body":                    {answer: soak.EndedResponse{End: framing.Closed, Ran: framing.Closed, Body: "xxx", Sent: 3}, broken: 1},
+		"a stream closed early":                       {answer: soak.EndedResponse{Path: "/chat/x", End: framing.Closed, Ran: framing.Closed, Body: "id: 1\n", Sent: 6}, broken: 1},
+		"incomplete reported as such":                 {answer: soak.EndedResponse{End: framing.Incomplete, Ran: framing.Incomplete}},
+		"closed reported as incomplete":               {answer: soak.EndedResponse{End: framing.Incomplete, Ran: framing.Closed}, broken: 1},
+		"closed and another response":                 {answer: soak.EndedResponse{End: framing.Complete, Ran: framing.Closed, Unsigned: true}, broken: 1},
+		"closed reported as incomplete, late":         {answer: soak.EndedResponse{End: framing.Incomplete, Ran: framing.Closed, Took: 4000 * ms}},
+		"closed reported as incomplete, engines' way": {answer: soak.EndedResponse{End: framing.Incomplete, Ran: framing.Closed, Trouble: soak.BreakResponses, Until: 200 * ms}, broken: 1},
+		"closed reported as incomplete, link":         {answer: soak.EndedResponse{End: framing.Incomplete, Ran: framing.Closed, Trouble: soak.EngineLink, Until: 200 * ms}},
+		"a killed gate's end":                         {answer: soak.EndedResponse{By: "HTTP/1.0", End: framing.Closed, Trouble: killed.Trouble, From: killed.From, Until: killed.Until}},
+		"the end of a gate killed at a stop":          {answer: soak.EndedResponse{By: "HTTP/1.0", End: framing.Closed, Body: "for", Trouble: soak.Kill, From: killed.From, Until: killed.Until, Late: true}},
+		"another response of a killed gate":           {answer: soak.EndedResponse{By: "HTTP/1.0", End: framing.Closed, Body: "xxx", Trouble: soak.Kill, From: killed.From, Until: killed.Until}, broken: 1},
+		"ended before a gate was killed":              {answer: soak.EndedResponse{By: "HTTP/1.0", End: framing.Closed, Trouble: soak.Kill, From: 101 * ms, Until: 200 * ms, Late: true}, broken: 1},
+		"a paused gate's end":                         {answer: soak.EndedResponse{By: "HTTP/1.0", End: framing.Closed, Trouble: soak.Pause, From: killed.From, Until: killed.Until}, broken: 1},
+		"a killed gate's complete response":           {answer: soak.EndedResponse{End: framing.Complete, Ran: framing.Closed, Trouble: killed.Trouble, From: killed.From, Until: killed.Until}, broken: 1},
+		"continued, complete reported as closed":      {answer: soak.EndedResponse{Path: "/resume/x", End: framing.Closed, Ran: framing.Complete, Before: framing.UntilClose}},
+		"continued from chunks, reported as closed":   {answer: soak.EndedResponse{Path: "/resume/x", End: framing.Closed, Ran: framing.Complete, Before: framing.Chunked}, broken: 1},
+		"continued in part, reported as closed":       {answer: soak.EndedResponse{Path: "/resume/x", End: framing.Closed, Ran: framing.Complete, Before: framing.UntilClose, Body: "id: 1\n"}, broken: 1},
+		"continued, closed reported as incomplete":    {answer: soak.EndedResponse{Path: "/resume/x", End: framing.Incomplete, Ran: framing.Closed, Before: framing.Chunked}},
+		"continued, closed reported as complete":      {answer: soak.EndedResponse{Path: "/resume/x", End: framing.Complete, Ran: framing.Closed, Before: framing.Chunked}, broken: 1},
+		"continued in 1.0, reported as incomplete":    {answer: soak.EndedResponse{Path: "/resume/x", By: "HTTP/1.0", End: framing.Incomplete, Ran: framing.Closed, Before: framing.Chunked}, broken: 1},
+		"run again, closed reported as incomplete":    {answer: soak.EndedResponse{Path: "/safe/x", End: framing.Incomplete, Ran: framing.Closed, Before: framing.Length}, broken: 1},
+		"frames with a fault":                         {answer: soak.EndedResponse{End: framing.Incomplete, Ran: framing.Incomplete, Fault: "two lengths"}, broken: 1},
 	} {
-		if got := soak.JudgeEnd(c.answer); len(got) != c.broken {
+		if got := soak.JudgeCompleteness(c.answer); len(got) != c.broken {
 			t.Errorf("%s: got %q, want %d", name, strings.Join(got, "; "), c.broken)
 		}
 	}
--- a/measure/soak/parts_test.go
+++ b/measure/soak/parts_test.go
@@ -9,8 +9,9 @@
 	"github.com/weldfall/weldfall/measure/soak"
 )
 
-// The seeds that are kept stay worth keeping only while they draw the same.
-func TestKeptSeedsDrawWhatTheyDrew(t *testing.T) {
+// The seeds of TestKeptSeeds guard against known faults only while they draw the same
+// schedules.
+func TestKeptSeedsKeepTheirSchedules(t *testing.T) {
 	for seed, want := range map[uint64]uint64{1: 0x32a0d87668d69dc, 2: 0x3177a7374ffc113e, 3: 0xa53632ff3e979063, 30007: 0xd6ef8c13bf951dfa} {
 		h := fnv.New64a()
 		for _, s := range soak.Schedule(seed, 18*time.Second, soak.Even) {
@@ -22,7 +23,7 @@
 	}
 }
 
-func TestPlannedPlaysStopGatesWithinASecondOfTheirStart(t *testing.T) {
+func TestPlannedPlayStopsGatesWithinASecondOfTheirStart(t *testing.T) {
 	ways, many, again := map[string]bool{}, map[int]bool{}, map[int]bool{}
 	for seed := range uint64(50) {
 		early := false
@@ -32,11 +33,11 @@
 				early = early || s.Start < time.Second
 				ways[s.Variant], many[s.Count], again[s.Repeats] = true, true, true
 				if s.Duration >= time.Second {
-					t.Errorf("seed %d: got %v after a return, want under a second", seed, s.Duration)
+					t.Errorf("seed %d: got %v between return and stop, want under a second", seed, s.Duration)
 				}
 			case soak.Reload, soak.PublishConfig, soak.AddEngine, soak.DrainEngine, soak.Compact:
 			default:
-				t.Errorf("seed %d: got %v, want planned work alone", seed, s)
+				t.Errorf("seed %d: got %v, want only planned work", seed, s)
 			}
 		}
 		if !early {
@@ -44,11 +45,11 @@
 		}
 	}
 	if len(ways) < 3 || len(many) < 3 || len(again) < 3 {
-		t.Errorf("got ways %v of groups of %v, again %v, want three of each", ways, many, again)
+		t.Errorf("got variants %v, group sizes %v, repeats %v, want three of each", ways, many, again)
 	}
 }
 
-func TestLongAnswersAreMostlyShortAndSometimesWhatWasTold(t *testing.T) {
+func TestLongEventsDistribution(t *testing.T) {
 	const n = 2000
 	short, full := 0, 0
 	most := soak.LongEvents("", 0)
@@ -70,42 +71,42 @@
 	}
 }
 
-func TestCutsAroundAPlannedStop(t *testing.T) {
+func TestResponsesBrokenAroundAPlannedStop(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		cut             soak.CutAnswer
+		response        soak.BrokenResponse
 		again           []time.Duration
 		broken, excused int
 	}{
-		"taken late and cut":               {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms}, broken: 1},
-		"sent before and cut early":        {cut: soak.CutAnswer{Sent: -200 * ms, Ended: 1000 * ms}, broken: 1},
-		"early, running at the end":        {cut: soak.CutAnswer{Sent: 1800 * ms, Ended: 4600 * ms}, excused: 1},
-		"early, seen after the next stop":  {cut: soak.CutAnswer{Sent: 1800 * ms, Ended: 4602 * ms}, again: []time.Duration{4601 * ms}, excused: 1},
-		"late, seen after the next stop":   {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4602 * ms}, again: []time.Duration{4601 * ms}, broken: 1},
-		"cut early by the next stop":       {cut: soak.CutAnswer{Sent: 4700 * ms, Ended: 5000 * ms}, again: []time.Duration{4800 * ms}, broken: 1},
-		"whole":                            {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, Whole: true}},
-		"the caller gave up":               {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, GaveUp: true}},
-		"as long as it may take":           {cut: soak.CutAnswer{Path: "/safe/x", Sent: 500 * ms, Ended: 3500 * ms}},
-		"another gate":                     {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, Gate: 1}},
-		"before the stop":                  {cut: soak.CutAnswer{Sent: -900 * ms, Ended: -100 * ms}},
-		"long after the stop":              {cut: soak.CutAnswer{Sent: 5000 * ms, Ended: 6100 * ms}},
-		"engine trouble meanwhile":         {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, TroubleGate: soak.EveryGate, Trouble: 3000 * ms, Until: 3500 * ms}, excused: 1},
-		"trouble of the gate shortly ago":  {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, Trouble: -3000 * ms, Until: -500 * ms}, excused: 1},
-		"trouble of the gate, long over":   {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, Trouble: -3000 * ms, Until: -900 * ms}, broken: 1},
-		"trouble of another gate":          {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, TroubleGate: 2, Trouble: 3000 * ms, Until: 3500 * ms}, broken: 1},
-		"trouble that began after the cut": {cut: soak.CutAnswer{Sent: 2200 * ms, Ended: 4600 * ms, Trouble: 4700 * ms, Until: 5500 * ms}, broken: 1},
+		"sent late and broken":                   {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms}, broken: 1},
+		"sent before and broken early":           {response: soak.BrokenResponse{Sent: -200 * ms, Ended: 1000 * ms}, broken: 1},
+		"early, running at the end":              {response: soak.BrokenResponse{Sent: 1800 * ms, Ended: 4600 * ms}, excused: 1},
+		"early, seen after the next stop":        {response: soak.BrokenResponse{Sent: 1800 * ms, Ended: 4602 * ms}, again: []time.Duration{4601 * ms}, excused: 1},
+		"late, seen after the next stop":         {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4602 * ms}, again: []time.Duration{4601 * ms}, broken: 1},
+		"broken early by the next stop":          {response: soak.BrokenResponse{Sent: 4700 * ms, Ended: 5000 * ms}, again: []time.Duration{4800 * ms}, broken: 1},
+		"complete":                               {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, Whole: true}},
+		"the caller gave up":                     {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, GaveUp: true}},
+		"as long as permitted":                   {response: soak.BrokenResponse{Path: "/safe/x", Sent: 500 * ms, Ended: 3500 * ms}},
+		"another gate":                           {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, Gate: 1}},
+		"before the stop":                        {response: soak.BrokenResponse{Sent: -900 * ms, Ended: -100 * ms}},
+		"long after the stop":                    {response: soak.BrokenResponse{Sent: 5000 * ms, Ended: 6100 * ms}},
+		"engine disturbance meanwhile":           {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, TroubleGate: soak.EveryGate, Trouble: 3000 * ms, Until: 3500 * ms}, excused: 1},
+		"disturbance of the gate shortly ago":    {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, Trouble: -3000 * ms, Until: -500 * ms}, excused: 1},
+		"disturbance of the gate, long over":     {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, Trouble: -3000 * ms, Until: -900 * ms}, broken: 1},
+		"disturbance of another gate":            {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, TroubleGate: 2, Trouble: 3000 * ms, Until: 3500 * ms}, broken: 1},
+		"disturbance that began after the break": {response: soak.BrokenResponse{Sent: 2200 * ms, Ended: 4600 * ms, Trouble: 4700 * ms, Until: 5500 * ms}, broken: 1},
 	} {
-		if c.cut.Path == "" {
-			c.cut.Path = "/long/x"
+		if c.response.Path == "" {
+			c.response.Path = "/long/x"
 		}
-		broken, excused := soak.JudgeCut(c.cut, c.again...)
+		broken, excused := soak.JudgeBrokenResponse(c.response, c.again...)
 		if broken != c.broken || excused != c.excused {
 			t.Errorf("%s: got %d broken, %d excused, want %d, %d", name, broken, excused, c.broken, c.excused)
 		}
 	}
 }
 
-func TestBreakingPlaysDrawAllWays(t *testing.T) {
+func TestBreakingPlayDrawsAllVariants(t *testing.T) {
 	ways, all := map[string]bool{}, false
 	for seed := range uint64(20) {
 		for _, s := range soak.Schedule(seed, 18*time.Second, soak.Breaking) {
@@ -117,10 +118,10 @@
 	}
 	for _, way := range soak.BreakVariants {
 		if !ways[way] {
-			t.Errorf("got no break %q in 20 seeds", way)
+			t.Errorf("got no variant %q in 20 seeds", way)
 		}
 	}
 	if !all {
-		t.Error("got no break of all engines in 20 seeds")
+		t.Error("got no step for all engines in 20 seeds")
 	}
 }
--- a/measure/soak/soak_test.go
+++ b/measure/soak/soak_test.go
@@ -20,38 +20,39 @@
 	return soak.Config{Seed: seed, Play: play, Length: 18 * time.Second, Gates: 3, Binary: self, Env: []string{fleettest.MainEnv + "=1"}, Dir: t.TempDir()}
 }
 
-// Seeds that once failed stay here, each with its cause.
-func TestSeedsKeepThePromises(t *testing.T) {
+// Each seed guards against a fault that it once showed, named in its comment.
+func TestKeptSeeds(t *testing.T) {
 	for name, kept := range map[string]struct {
 		seed uint64
 		play soak.Play
 	}{
-		"first":                             {1, soak.Even},
-		"second":                            {2, soak.Even},
-		"all gates stopped in turn":         {3, soak.Even},
-		"store deaf while a key is revoked": {30007, soak.Even},
-		// The longest of a few answers stood for what the next might take.
-		"answers that outlast a stop": {916, soak.Planned},
-		// A whole answer of the store had 0.7 s, whatever its size.
-		"settings that grow over a slow link": {1, soak.Growing},
-		// Lives of an engine were not told apart.
-		"engines that start again and foreign entries": {7, soak.Restarting},
-		// The soak took it that a light load leaves no engine out.
-		"engines that start again under a light load": {91003, soak.Restarting},
-		// Entries forgot what a request had done to engines.
-		"requests that end engines": {100007, soak.Ending},
-		// The soak had a gate read its settings again that did not catch signals yet, and its
-		// steady clock began before zero.
-		"a store that comes back from older copies, and suspended instances": {130003, soak.Copying},
-		// A watch that was sent into a silence heard nothing for its whole wait.
-		"a store that falls silent for moments": {12, soak.Hushing},
-		// A process counted its repeats from nothing, and requests when it read them.
-		"gates that are killed or stand still while engines fail": {2, soak.Failing},
-		// The pace of one route stood for that of a slower one.
+		"first":                                {1, soak.Even},
+		"second":                               {2, soak.Even},
+		"all gates stopped in turn":            {3, soak.Even},
+		"empty watches while a key is revoked": {30007, soak.Even},
+		// The longest of a few responses was taken as the maximum for the next one.
+		"responses that outlast a stop": {916, soak.Planned},
+		// Every response of the store had to be complete within 0.7 s, whatever its size.
+		"a config that grows over a slow link": {1, soak.Growing},
+		// Incarnations of an engine were not distinguished.
+		"engines that restart and foreign entries": {7, soak.Restarting},
+		// The check assumed that with a light load every engine receives requests.
+		"engines that restart under a light load": {91003, soak.Restarting},
+		// Gates lost the record of engines that a request had crashed.
+		"requests that crash engines": {100007, soak.Ending},
+		// The soak sent SIGHUP to a gate that did not catch signals yet, and the steady
+		// clock of the soak started below zero.
+		"a store restored from older copies, and suspended instances": {130003, soak.Copying},
+		// A watch that was sent during a silence received nothing for its whole duration.
+		"a store that is silent for short times": {12, soak.Hushing},
+		// A restarted process counted its retries from zero, and counted requests only when
+		// it had read them.
+		"gates that are killed or paused while engines fail": {2, soak.Failing},
+		// The token rate of one route was applied to a slower one.
 		"streams slower than others of their service": {913, soak.Planned},
-		// An answer that ended with its engine's connection, also inside an event, was told as
-		// complete.
-		"answers that end with their connections": {2, soak.Breaking},
+		// A response that ended with its engine's connection, also inside an event, was
+		// passed on as complete.
+		"responses that end with their connections": {2, soak.Breaking},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/measure/trace/trace.go
+++ b/measure/trace/trace.go
@@ -1,5 +1,4 @@
-// Package trace reads and writes recorded arrivals, so that the decisions can
-// be replayed with what really came.
+// Package trace reads and writes recorded arrivals, for replays of routing decisions.
 package trace
 
 import (
@@ -15,14 +14,14 @@
 
 // Turn is one request of a trace.
 type Turn struct {
-	// At is the time of arrival since the start of the trace.
+	// Arrival is the time since the start of the trace.
 	Arrival clock.Millis
-	// Chat numbers the chat; Number counts its turns from 0.
+	// Chat identifies the chat; Number counts its turns from 0.
 	Chat, Number int
-	// Workspace numbers the workspace.
+	// Workspace identifies the workspace.
 	Workspace int
-	// Prompt is the whole prompt in tokens, Shared the part that the previous
-	// turn left behind, Output the length of the answer.
+	// PromptTokens is the size of the complete prompt, SharedTokens that of the part left
+	// by the previous turn, OutputTokens that of the response.
 	PromptTokens, SharedTokens, OutputTokens int
 }
 
@@ -51,7 +50,7 @@
 	return nil
 }
 
-// Read reads turns as Write wrote them.
+// Read reads turns that Write wrote. It fails on a row that is malformed.
 func Read(r io.Reader) ([]Turn, error) {
 	z, err := gzip.NewReader(r)
 	if err != nil {
