--- a/fleet/gossip.go
+++ b/fleet/gossip.go
@@ -28,7 +28,7 @@
 }
 
 // goneRetention is how long instances that are gone stay in the view. It is longer than
-// the longest window of a key.
+// the longest window in which an idempotency key is claimed (once.window_ms).
 const goneRetention clock.Millis = 90_000_000
 
 // handlePause marks the node as not ready after a pause, until its data has been renewed.
@@ -38,7 +38,7 @@
 	n.mu.Lock()
 	n.view.ResetExchanges()
 	n.caughtUp, n.platformRead, n.renewing = false, false, true
-	clear(n.answeredPeers)
+	clear(n.respondedPeers)
 	n.startedAt = n.clk.Now()
 	n.ready.Store(false)
 	n.mu.Unlock()
@@ -112,7 +112,7 @@
 	n.store.ApplyAnswer(wire.Exchanged{Upto: res.Upto, PlatformAge: res.PlatformAge}, n.clk.Now())
 	leaving := n.markLeaving(res.Leaving)
 	n.observeLoads(res.Loads)
-	n.answeredPeers[id] = true
+	n.respondedPeers[id] = true
 	n.caughtUp = n.upToDate(res.Revs)
 	n.listComplete = n.store.Upto(wire.TopicInstances) >= res.Revs[wire.TopicInstances]
 	if rev, ok := res.Revs[wire.TopicBranches]; ok {
@@ -120,7 +120,7 @@
 	}
 	n.mu.Unlock()
 	metrics.GetOrCreateCounter("weldfall_exchange_total").Inc()
-	if len(newItems) > maxForwarded {
+	if len(newItems) > maxPushedItems {
 		// This process is catching up; others already have these items.
 		newItems = nil
 	}
@@ -128,9 +128,9 @@
 	n.updateReady(listed)
 }
 
-// upToDate reports whether this process has all that the peer has of the topics that its
-// decisions need. A daemon can decide before it has the whole list, which takes minutes
-// for a large fleet. The caller holds mu.
+// upToDate reports whether this process has all that a peer with the revisions revs has of
+// the topics that this process needs before it serves. A daemon can serve without the whole
+// list of instances, which takes minutes to receive in a large fleet. The caller holds mu.
 func (n *Node) upToDate(revs map[wire.Topic]int64) bool {
 	needed := []wire.Topic{wire.TopicCore}
 	if n.cfg.Role == member.Entry {
@@ -144,16 +144,19 @@
 	return true
 }
 
-// maxForwarded is the largest number of items from one exchange that are pushed on.
-const maxForwarded = 3
+// maxPushedItems is the largest number of new items in one exchange that are pushed to other
+// peers. If there are more, none are pushed.
+const maxPushedItems = 3
 
-// startTimeout is how long a starting process waits for both the platform and its peers
-// before it serves with one of them.
+// startTimeout is how long a starting process waits until it serves with the data of only the
+// platform or only its peers. The platform's data alone is enough earlier if no peers are known
+// or configured, and the data of peers if the process resumes after a pause or the platform's
+// data is recent (see maxStartPlatformAge).
 const startTimeout clock.Millis = 3000
 
-// maxStartPlatformAge is the age of the platform's latest answer to any process below
-// which the data of peers alone is enough. The platform answers a long poll after
-// longPollWait at the latest.
+// maxStartPlatformAge limits the age of the platform's data at which a starting process
+// serves with the data of its peers alone. The age counts from the platform's latest response
+// to any process. The platform responds to a long poll within longPollWait.
 const maxStartPlatformAge = longPollWait + 2000
 
 // updateReady marks the node as ready if it knows enough to serve.
@@ -163,17 +166,17 @@
 	if n.ready.Load() {
 		return
 	}
-	enoughPeers := n.caughtUp && len(n.answeredPeers) >= min(minStartPeers, max(1, listed))
+	enoughPeers := n.caughtUp && len(n.respondedPeers) >= min(minStartPeers, max(1, listed))
 	alone := listed == 0 && len(n.cfg.Bootstrap) == 0
 	waited := n.clk.Now()-n.startedAt > startTimeout
 	fresh := n.store.PlatformAge(n.clk.Now()) < maxStartPlatformAge
 	if (n.platformRead && (enoughPeers || alone || waited)) || (enoughPeers && (waited || n.renewing || fresh)) {
 		n.ready.Store(true)
-		n.cfg.Log.Info("ready", "from_platform", n.platformRead, "peers_heard", len(n.answeredPeers))
+		n.cfg.Log.Info("ready", "from_platform", n.platformRead, "peers_heard", len(n.respondedPeers))
 	}
 }
 
-func (n *Node) answerExchange(e wire.Exchange) wire.Exchanged {
+func (n *Node) handleExchange(e wire.Exchange) wire.Exchanged {
 	n.mu.Lock()
 	res := n.store.Answer(e, n.clk.Now())
 	res.Loads = n.loadSample()
@@ -233,8 +236,9 @@
 	}
 }
 
-// pushBytes limits the items in one push; the rest arrives by exchange.
-const pushBytes = 8000
+// maxPushBytes limits the size of the values in one push, in bytes. The first item is sent
+// whatever its size. Items beyond the limit arrive by exchange.
+const maxPushBytes = 8000
 
 func itemsFor(role member.Role, newItems []wire.Item) []wire.Item {
 	var out []wire.Item
@@ -243,7 +247,7 @@
 		if it.Topic == wire.TopicBranches && role != member.Entry {
 			continue
 		}
-		if used += len(it.Value) + len(it.LastGood); used > pushBytes && len(out) > 0 {
+		if used += len(it.Value) + len(it.LastGood); used > maxPushBytes && len(out) > 0 {
 			break
 		}
 		out = append(out, it)
@@ -259,8 +263,8 @@
 	_ = c.Notify(wire.MethodPush, p)
 }
 
-// AnnounceLeaving tells all entries and a few other peers that this instance is leaving,
-// and marks the node as not ready.
+// AnnounceLeaving reports to all entries and a few other peers that this instance is
+// draining, which members see as leaving. It marks the node as not ready.
 func (n *Node) AnnounceLeaving() {
 	n.mu.Lock()
 	n.view.MarkLeaving(n.cfg.ID)
@@ -276,7 +280,8 @@
 	n.push(nil, []string{n.cfg.ID})
 }
 
-// fetchBranch requests a missing branch from up to two entries.
+// fetchBranch requests the branch of the settings at path from peers until two entries have
+// responded, as many as a starting process needs (minStartPeers).
 func (n *Node) fetchBranch(ctx context.Context, path string) {
 	n.mu.Lock()
 	peers := n.view.Peers()
@@ -284,23 +289,23 @@
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	ctx, cancel := context.WithTimeout(ctx, callTimeout.Duration())
 	defer cancel()
-	answered := 0
+	responses := 0
 	for _, p := range peers {
-		if p.Role != member.Entry || answered == minStartPeers {
+		if p.Role != member.Entry || responses == minStartPeers {
 			continue
 		}
 		var res wire.Fetched
 		if n.call(ctx, p.Addr, wire.MethodFetch, wire.Fetch{Topic: wire.TopicBranches, Keys: []string{path}}, &res) != nil {
 			continue
 		}
-		answered++
+		responses++
 		n.mu.Lock()
 		n.applyItems(res.Items)
 		n.mu.Unlock()
 	}
 }
 
-func (n *Node) answerFetch(f wire.Fetch) wire.Fetched {
+func (n *Node) handleFetch(f wire.Fetch) wire.Fetched {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	res := wire.Fetched{Upto: n.store.Upto(f.Topic)}
--- a/fleet/handle.go
+++ b/fleet/handle.go
@@ -19,13 +19,13 @@
 		if err != nil {
 			return nil, true, err
 		}
-		return n.answerExchange(e), true, nil
+		return n.handleExchange(e), true, nil
 	case wire.MethodFetch:
 		f, err := wire.Decode[wire.Fetch](method, params)
 		if err != nil {
 			return nil, true, err
 		}
-		return n.answerFetch(f), true, nil
+		return n.handleFetch(f), true, nil
 	}
 	return nil, false, nil
 }
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -29,7 +29,8 @@
 	ExchangePeriod clock.Millis = 1000
 	// tickPeriod is how often the process checks for pauses.
 	tickPeriod clock.Millis = 200
-	// PauseLimit is the gap between ticks that counts as a pause.
+	// PauseLimit is the gap between ticks that counts as a pause: the process did not run,
+	// or its instance was suspended.
 	PauseLimit clock.Millis = 1500
 	// pushFanout is how many peers a new item is pushed to.
 	pushFanout = 3
@@ -39,7 +40,7 @@
 	loadsPerExchange = 8
 	// fetchesPerSecond limits the requests for single branches to peers.
 	fetchesPerSecond = 20
-	// minStartPeers is how many peers must answer a starting process before it serves.
+	// minStartPeers is how many peers must respond to a starting process before it serves.
 	minStartPeers = 2
 )
 
@@ -56,7 +57,7 @@
 	Pool      *link.Pool
 	// Loads returns the loads of this process's own engines.
 	Loads func() []wire.Load
-	// ChunkBytes limits the items in one answer to a peer, in bytes.
+	// ChunkBytes limits the items in one response to a peer, in bytes.
 	ChunkBytes int
 }
 
@@ -72,9 +73,9 @@
 	loads *route.Loads
 	// targets caches the targets of each pool until the view changes.
 	targets map[string]*poolTargets
-	// answeredPeers holds the peers that answered since the start or the latest pause.
-	answeredPeers map[string]bool
-	caughtUp      bool
+	// respondedPeers holds the peers that responded since the start or the latest pause.
+	respondedPeers map[string]bool
+	caughtUp       bool
 	// listComplete is true once a peer had nothing newer in the list of instances.
 	listComplete bool
 	// branchesComplete is true once a peer had no branch that is missing here.
@@ -108,7 +109,7 @@
 		cfg: cfg, clk: cfg.Clock, startedAt: now,
 		store: spread.NewStore(TopicsOf(cfg.Role), cfg.ChunkBytes), tree: settings.NewTree(),
 		view: member.NewView(cfg.ID, now), loads: route.NewLoads(), targets: map[string]*poolTargets{},
-		answeredPeers: map[string]bool{}, fetchLimit: rate.NewLimiter(fetchesPerSecond, fetchesPerSecond), wakeup: make(chan struct{}, 1),
+		respondedPeers: map[string]bool{}, fetchLimit: rate.NewLimiter(fetchesPerSecond, fetchesPerSecond), wakeup: make(chan struct{}, 1),
 	}
 }
 
--- a/fleet/pool.go
+++ b/fleet/pool.go
@@ -151,7 +151,7 @@
 	return out[:min(limit, len(out))]
 }
 
-// SampleLoads records the load reports in an answer.
+// SampleLoads records the load reports in a response.
 func (n *Node) SampleLoads(loads []wire.Load) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/fleet/read.go
+++ b/fleet/read.go
@@ -52,7 +52,7 @@
 	readBackoff clock.Millis = 1000
 	// readerCheckPeriod is how often a process checks whether it is a reader.
 	readerCheckPeriod clock.Millis = 1000
-	// staleAfter is the age of the platform's latest answer from which on processes other
+	// staleAfter is the age of the platform's latest response from which on processes other
 	// than the readers read it too.
 	staleAfter clock.Millis = 15_000
 	// fallbackReadsPerSecond is the approximate rate of such reads over the whole fleet.
@@ -98,7 +98,7 @@
 }
 
 // read applies what the platform has after the local revision and reports whether it
-// succeeded. Items of an older revision change nothing, and such an answer does not renew
+// succeeded. Items of an older revision change nothing, and such a response does not renew
 // the platform's age.
 func (n *Node) read(ctx context.Context, t source.Topic, wait clock.Millis) bool {
 	n.mu.Lock()
--- a/gate/enginelist.go
+++ b/gate/enginelist.go
@@ -8,62 +8,63 @@
 )
 
 const (
-	// drainingDuePart is the part of the bound for draining engines after which the list of
-	// engines must be confirmed. The rest is for the call, which takes 400 ms at a slow
-	// store, and for requests on their way to engines.
+	// drainingDuePart is the fraction of the bound for draining engines after which the list
+	// of engines must be confirmed. The rest covers the call, which takes 400 ms if the store
+	// is slow, and requests on their way to engines.
 	drainingDuePart = 0.6
 	// ownReadPeriod is how long an entry relies on reports that the list is unchanged before
 	// it reads the list itself. All reports may be wrong.
 	ownReadPeriod clock.Millis = 60_000
 	// unverifiedMaxAge is how long an entry uses engines that peers reported before it
-	// verifies them with the store. A false report may send prompts to an address that is no
-	// engine.
+	// verifies them with the store. A false report may direct prompts to a host that is not
+	// an engine.
 	unverifiedMaxAge clock.Millis = 20_000
-	// changesTimeout is how long an entry that is behind waits, before it asks the store, for
-	// changes from the peer that reported a later list: a request, a response and the time to
-	// apply it.
+	// changesTimeout is how long an entry with an outdated list waits for the changes from
+	// the peer that reported a later one before it asks the store. It covers a request, its
+	// response and the time to apply the changes.
 	changesTimeout clock.Millis = 300
 	// PropagationLag is how long a report takes to reach the last of propagationEntries.
 	PropagationLag clock.Millis = 2000
 	// propagationEntries is the number of entries for which PropagationLag holds.
 	propagationEntries = 100
 	// fewEntries is the number of entries up to which each asks the store itself, for the
-	// list and while the store is unavailable. This costs few calls, and each entry learns of
-	// a change or a return at once.
+	// list and whether an unavailable store is available again. So few entries cause few
+	// calls, and none of them has to wait for a report.
 	fewEntries = 8
-	// WatchLag is how late a watch may report a change, also when it returns: the store can
-	// report changes up to a second late while it compacts its history. Reads of an item have
-	// no such lag.
+	// WatchLag is the maximum delay with which a watch reports a change. A response to a
+	// watch may lack the changes of this last period, because the store can be up to a second
+	// late while it compacts its history. Reads of an item have no such delay.
 	WatchLag clock.Millis = 1000
 )
 
-// listState is what is known of the list of engines as a whole. If there are many entries,
-// not each of them asks whether the list is unchanged: the first entry does so early and
-// the others receive its report. If the checksums of their lists differ, an entry asks the
-// peer that reported the other list for the changes, or else the store. Engines write their
-// entries again and again, so a watch returns at once, and an entry that asks the store
-// itself does so as often as allowed.
+// listState is the state of the list of engines as a whole. If there are many entries, the
+// first one asks the store early whether the list is unchanged, and the others rely on its
+// report. An entry whose list has another checksum requests the changes from the peer that
+// reported the later list, or else from the store.
 //
-// In a test with 103 entries over 54 s, in which an engine joined or left each second,
-// 1,265 such calls remained of 1,743 while peers reported only that the list is unchanged.
-// In a simulation without such changes, 5 calls a second remained of 50.
+// This saves calls because engines renew their items in the list all the time: a watch of
+// the list returns almost at once, so an entry that asks the store itself does so as often
+// as its timing allows.
 type listState struct {
-	// sum is the checksum of the list that this entry last read, at readAt.
-	sum    uint32
+	// sum is the checksum of the list as last read from the store or updated with changes
+	// from a peer, zero if it is not known yet.
+	sum uint32
+	// readAt is when the store last confirmed the list to this entry.
 	readAt clock.Millis
 	// unverifiedSince is when peers first reported changes that have not been verified with
 	// the store, zero if there are none.
 	unverifiedSince clock.Millis
-	// watched is true while a watch is open, which reports changes at once.
+	// watched is true while a watch is open. It reports changes within WatchLag.
 	watched bool
-	// behind is true from when a peer reports a later list until that list is known or the
-	// store was asked. peerSum is the checksum that the peer reported. A checksum is asked
-	// for only once, because two entries never agree if one of them read a list that the
-	// other did not.
-	behind  bool
+	// behind is true from when a peer reports a later list until this entry reads the list
+	// from the store or applies changes from a peer.
+	behind bool
+	// peerSum is the checksum that the peer reported. The same checksum does not set behind
+	// again: if one entry read a list that the other did not, their checksums may never
+	// agree.
 	peerSum uint32
 	// changesRequestedAt is when the changes were last requested from the peer that reported
-	// them, zero if they were not yet.
+	// peerSum, zero if they were not.
 	changesRequestedAt clock.Millis
 }
 
@@ -116,16 +117,18 @@
 	g.list.watched = active
 }
 
-// ListShared reports whether peers can confirm that the list is unchanged: there are enough
-// of them, their reports arrive in time, and the store is not stale.
+// ListShared reports whether peers can confirm that the list is unchanged. There must be
+// more than fewEntries entries, their reports must arrive in time, and the store must be
+// known to have what it had before its present epoch.
 func (g *Gate) ListShared() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.listShared(g.clk.Now())
 }
 
-// listShared is ListShared for callers that hold mu. If the list is due before a report can
-// arrive, all entries would ask the store anyway, and more often.
+// listShared is ListShared for callers that hold mu. If a confirmation is due before a report
+// can arrive, sharing saves nothing: all entries would still ask the store, and more often
+// than without sharing.
 func (g *Gate) listShared(now clock.Millis) bool {
 	n := g.fleet.Entries
 	inTime := drainingDuePart*float64(g.bounds().Draining) >= float64(propagationLag(n))
@@ -139,28 +142,34 @@
 	return clock.Millis(float64(PropagationLag) * min(1, math.Log(float64(n))/math.Log(propagationEntries)))
 }
 
-// ListReadDue reports whether this entry should read the list of engines from the store: no
-// entry has confirmed it for some time, or another entry has a later list.
+// ListReadDue reports whether this entry should ask the store for the list of engines. It
+// should if
+//   - its own last read is older than ownReadPeriod,
+//   - changes that peers reported are unverified for longer than unverifiedMaxAge,
+//   - a peer has a later list whose changes are neither pending nor requested within the last
+//     changesTimeout, and the last read is at least the due time ago, or
+//   - a confirmation of the list is due at this entry.
 func (g *Gate) ListReadDue() bool {
 	due := drainingDuePart * float64(g.bounds().Draining)
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	since := now - g.list.readAt
-	// Changes at about the same time cost one call, and false reports cost no more calls
-	// than there would be without reports.
+	// A peer's later list causes a call only if the last read is at least due ago. Several
+	// changes within that time then cost one call, and false reports cost no more calls than
+	// there would be without reports.
 	behind := g.list.behind && now-g.list.changesRequestedAt >= changesTimeout && !g.changes.HasPending()
 	unverified := g.list.unverifiedSince > 0 && now-g.list.unverifiedSince > unverifiedMaxAge
 	if since > ownReadPeriod || unverified || (behind && since >= clock.Millis(due)) {
 		return true
 	}
-	return g.confirmationDue(func(part float64) bool { return !g.listFreshness.Within(clock.Millis(part*due), now) })
+	return g.confirmationDue(func(duePart float64) bool { return !g.listFreshness.Within(clock.Millis(duePart*due), now) })
 }
 
 // confirmationDue reports whether this entry should confirm the table or the list now.
-// older reports whether the last confirmation is older than a part of the time in which one
-// is due. The caller holds mu.
-func (g *Gate) confirmationDue(older func(part float64) bool) bool {
+// older reports whether the last confirmation is older than the fraction duePart of the
+// time in which one is due. The caller holds mu.
+func (g *Gate) confirmationDue(older func(duePart float64) bool) bool {
 	switch {
 	case older(1):
 		return true
@@ -185,8 +194,8 @@
 	return g.list.sum, age
 }
 
-// receiveList records the report of a peer of the same epoch that the list had the given
-// checksum at the given time. The caller holds mu.
+// receiveList records the report of a peer that the list had the given checksum at the given
+// time. The peer must have read the list in the same epoch of the store. The caller holds mu.
 func (g *Gate) receiveList(sum uint32, at, now clock.Millis) {
 	if sum == 0 || at > now || !g.listShared(now) {
 		return
--- a/gate/filters.go
+++ b/gate/filters.go
@@ -9,12 +9,12 @@
 // filters returns the steps that every request passes, in order.
 func (g *Gate) filters() filter.List[*call] {
 	return filter.List[*call]{
-		{Name: "check", Run: g.check},         // required headers are present once
-		{Name: "resolve", Run: g.resolve},     // find the route by host and path
-		{Name: "stay", Run: g.admit},          // a stopping process accepts only what it can finish
-		{Name: "authorise", Run: g.authorise}, // find the workspace of the key
-		{Name: "read", Run: g.read},           // read the body within its limits
-		{Name: "send", Run: g.send},           // choose an engine, send, relay the response
+		{Name: "check", Run: g.validateHeaders}, // validate the headers that the entry uses
+		{Name: "resolve", Run: g.resolve},       // find the route by host and path
+		{Name: "stay", Run: g.admit},            // a stopping process accepts only what it can finish
+		{Name: "authorise", Run: g.authorise},   // find the workspace of the key
+		{Name: "read", Run: g.readBody},         // read the body within its limits
+		{Name: "send", Run: g.send},             // choose an engine, send, relay the response
 	}
 }
 
--- a/gate/resolve.go
+++ b/gate/resolve.go
@@ -16,23 +16,24 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// Values of Retry-After.
+// Delays that are sent in Retry-After.
 const (
-	// retryStale is when an entry without a current table may have one again.
+	// retryStale is for entries with no or an outdated table: the store is likely
+	// unavailable to all entries.
 	retryStale clock.Millis = 700
-	// retryAtOnce is for requests that another entry can serve: a retry reaches another
+	// retryAtOnce is for requests that other entries can serve. The retry reaches another
 	// entry.
 	retryAtOnce clock.Millis = 10
-	// retrySoon is when an engine may be free or reachable again.
+	// retrySoon is for requests without an engine. One may be free or reachable by then.
 	retrySoon clock.Millis = 250
 )
 
 // defaultBodyLimit is the maximum size of a body in bytes if the operators set none.
 const defaultBodyLimit = 4 << 20
 
-// check rejects requests in which a required header is missing or a single-valued one is
-// repeated.
-func (g *Gate) check(_ context.Context, c *call) *verdict.Error {
+// validateHeaders rejects requests without an ID, with an invalid deadline, or with more than
+// one value of a single-valued header. It sets the ID and the timeout of the call.
+func (g *Gate) validateHeaders(_ context.Context, c *call) *verdict.Error {
 	h := c.r.Header
 	for _, name := range []string{g.wire.RequestID, g.wire.Deadline, g.wire.Prompt, "Authorization"} {
 		if len(h.Values(name)) > 1 {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// maxRequestTime is the maximum duration of any request.
+// maxRequestTime limits requests of routes without a timeout, and the caller's deadline.
 const maxRequestTime = duration.DefaultTimeout
 
 // resolve finds the route and the service of the request.
@@ -94,16 +95,16 @@
 	return nil
 }
 
-// checkOutdated rejects requests while the version in force is known to be too old.
+// checkOutdated rejects requests while the table in force is known to be too old.
 func (g *Gate) checkOutdated() *verdict.Error {
 	now := g.clk.Now()
 	g.mu.Lock()
-	age, back := g.outdated(now), g.retryElsewhere(now)
+	age, retryAfter := g.outdated(now), g.retryElsewhere(now)
 	g.mu.Unlock()
 	if age == 0 {
 		return nil
 	}
-	return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes have been out of date for %d ms: a newer version is still being transferred", age).WithRetryAfter(back)
+	return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes have been out of date for %d ms: a newer version is still being transferred", age).WithRetryAfter(retryAfter)
 }
 
 // headerBytes returns the size of a request's header in bytes.
@@ -120,15 +121,15 @@
 // headerLineOverhead is the size of a header line apart from its name and value, in bytes.
 const headerLineOverhead = 4
 
-// denied returns the error for a key or path that is not in the table. If the table may be
-// out of date, the error says that instead.
+// denied returns the error for a key or path that is not in the table. If the table is older
+// than maxDenialAge and may lack a recent addition, it returns a NotReady error instead.
 func (g *Gate) denied(reason verdict.Reason, format string, args ...any) *verdict.Error {
 	now := g.clk.Now()
 	g.mu.Lock()
-	age, current, back := g.tableFreshness.Age(now), g.tableFreshness.Within(maxDenialAge, now), g.retryElsewhere(now)
+	age, current, retryAfter := g.tableFreshness.Age(now), g.tableFreshness.Within(maxDenialAge, now), g.retryElsewhere(now)
 	g.mu.Unlock()
 	if !current {
-		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes and keys are %d ms old and may be out of date", age).WithRetryAfter(back)
+		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's routes and keys are %d ms old and may be out of date", age).WithRetryAfter(retryAfter)
 	}
 	return verdict.New(verdict.NotRun, reason, format, args...)
 }
@@ -141,10 +142,10 @@
 	}
 	now := g.clk.Now()
 	g.mu.Lock()
-	age, current, back := g.tableFreshness.Age(now), g.tableFreshness.Within(g.maxKeyAge(), now), g.retryElsewhere(now)
+	age, current, retryAfter := g.tableFreshness.Age(now), g.tableFreshness.Within(g.maxKeyAge(), now), g.retryElsewhere(now)
 	g.mu.Unlock()
 	if !current {
-		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's keys are %d ms old and may have been revoked", age).WithRetryAfter(back)
+		return verdict.New(verdict.NotRun, verdict.NotReady, "this entry's keys are %d ms old and may have been revoked", age).WithRetryAfter(retryAfter)
 	}
 	key, ok := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// read reads the body within the limits on its size and time.
-func (g *Gate) read(ctx context.Context, c *call) *verdict.Error {
+// readBody reads the body within the limits on its size and time.
+func (g *Gate) readBody(ctx context.Context, c *call) *verdict.Error {
 	limit := int64(defaultBodyLimit)
 	if l := c.table.Limits().BodyBytes; l > 0 {
 		limit = l
