--- a/commands/load.go
+++ b/commands/load.go
@@ -16,16 +16,16 @@
 )
 
 type loadCmd struct {
-	URLs     []string `arg:"--url,separate" help:"URL of an entry; give it again for more"`
-	Pages    []string `arg:"--pages,separate" help:"URL of an entry's admin address, for skew and control bytes"`
-	Keys     []string `arg:"--key,separate" help:"bearer key of a workspace; give it again for more, large ones first"`
-	Demo     string   `arg:"--demo" help:"start a demo fleet and load this partner of it: planning or vigia"`
-	Model    string   `arg:"--model" help:"model to ask for"`
+	URLs     []string `arg:"--url,separate" help:"URL of an entry; repeat for more entries"`
+	Pages    []string `arg:"--pages,separate" help:"admin URL of an entry, read for the load skew and control traffic; only the first is used"`
+	Keys     []string `arg:"--key,separate" help:"bearer key of a workspace; repeat for more workspaces, in descending order of load"`
+	Demo     string   `arg:"--demo" help:"start a demo fleet and send the load to one of its partners, planning or vigia; replaces --model and adds to --url, --pages and --key"`
+	Model    string   `arg:"--model" help:"model to request"`
 	Shape    string   `arg:"--shape" default:"planning" help:"planning (long prompts) or vigia (short ones)"`
 	Rate     float64  `arg:"--rate" default:"20" help:"requests a second, at most 2000"`
 	Seconds  int      `arg:"--seconds" default:"30" help:"duration of the load in seconds, at most 3600"`
 	InFlight int      `arg:"--in-flight" default:"512" help:"maximum number of requests in flight"`
-	Seed     uint64   `arg:"--seed" default:"1"`
+	Seed     uint64   `arg:"--seed" default:"1" help:"seed of the random arrivals, prompts and chats"`
 	Record   string   `arg:"--record" help:"write the arrivals as a trace to this file"`
 	JSON     bool     `arg:"--json" help:"write the report as JSON"`
 }
@@ -91,13 +91,15 @@
 	return nil
 }
 
-// useDemo starts a demo fleet and sets c to send its load to one partner of it.
+// useDemo starts a demo fleet and directs the load at one of its partners. It replaces the
+// model, and adds the URLs, admin URLs and keys of the partner to those that were given.
 func (c *loadCmd) useDemo(ctx context.Context, errOut io.Writer) (closeDemo func(), err error) {
 	i := slices.IndexFunc(demoPartners, func(d demoPartner) bool { return d.partner == c.Demo })
 	if i < 0 {
 		return nil, usagef("load: --demo must be planning or vigia")
 	}
 	ctx, cancel := context.WithCancel(ctx)
+	// 12 engines are the default of the demo command.
 	f, err := startDemo(ctx, errOut, &demoCmd{Entries: loadDemoEntries, Engines: 12, Listen: "127.0.0.1:0", LogLevel: "error"})
 	if err != nil {
 		cancel()
--- a/commands/process.go
+++ b/commands/process.go
@@ -22,14 +22,14 @@
 	"github.com/weldfall/weldfall/report/admin"
 )
 
-// processFile is the settings file of an entry or a daemon. It has what a process
-// needs before it can read the settings tree.
+// processFile is the local settings file of an entry or a daemon. It has what a
+// process needs before it can read the settings of the fleet from the platform.
 type processFile struct {
 	ID   string `toml:"id"`
 	Hall string `toml:"hall"`
 	// Listen is the address for callers; entries only.
 	Listen string `toml:"listen"`
-	// Peers is the address for the other processes of the system.
+	// Peers is the address for the other processes of the fleet.
 	Peers string `toml:"peers"`
 	// Admin is the address of the read-only admin pages.
 	Admin string `toml:"admin"`
@@ -43,6 +43,7 @@
 	Engines []daemon.Engine `toml:"engines"`
 }
 
+// nameRE matches the names of instances, data halls and pools.
 var nameRE = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]{0,63}$`)
 
 // loadProcessFile reads and validates the file of an entry or a daemon. It fails
@@ -60,10 +61,10 @@
 		return processFile{}, usageError{strict.LineError(path, text, key, problem)}
 	}
 	if !nameRE.MatchString(f.ID) {
-		return fail("id", fmt.Sprintf("%q: write 1 to 64 of a-z, 0-9, '-' and '_'", f.ID))
+		return fail("id", fmt.Sprintf("%q: write 1 to 64 of a-z, 0-9, '-' and '_', a letter or digit first", f.ID))
 	}
 	if !nameRE.MatchString(f.Hall) {
-		return fail("hall", fmt.Sprintf("%q: write the name of the data hall", f.Hall))
+		return fail("hall", fmt.Sprintf("%q: write the name of the data hall: 1 to 64 of a-z, 0-9, '-' and '_', a letter or digit first", f.Hall))
 	}
 	addrs := []struct{ key, addr string }{{"peers", f.Peers}, {"admin", f.Admin}}
 	if !isDaemon {
@@ -89,7 +90,7 @@
 		return f, nil
 	}
 	if !nameRE.MatchString(f.Pool) {
-		return fail("pool", fmt.Sprintf("%q: write the name of the pool", f.Pool))
+		return fail("pool", fmt.Sprintf("%q: write the name of the pool: 1 to 64 of a-z, 0-9, '-' and '_', a letter or digit first", f.Pool))
 	}
 	if len(f.Engines) == 0 {
 		return fail("engines", "name at least one engine with [[engines]]")
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -14,7 +14,8 @@
 )
 
 // startDraining makes the daemon refuse new requests, even if entries still send them, and
-// announces that to the fleet.
+// announces that to the fleet. If the settings enable it, the handover of cached prefixes
+// starts in the background. Later calls have no effect.
 func (d *Daemon) startDraining() {
 	d.mu.Lock()
 	already := d.draining
@@ -32,9 +33,10 @@
 // drainCheckPeriod is how often a draining daemon checks whether all attempts have ended.
 const drainCheckPeriod clock.Millis = 20
 
-// Drain prepares a planned stop. The daemon refuses new requests, finishes queued and
-// running ones within the drain time, and exports cached prefixes to the engines to which
-// their chats go next. Drain returns the number of attempts that are not finished.
+// Drain prepares a shutdown. The daemon refuses new requests and finishes queued and running
+// ones within the drain time. If the settings enable the handover and time is left, Drain then
+// repeats the one that startDraining began, since the finished requests cached more prefixes.
+// Drain returns the number of attempts that are not finished.
 func (d *Daemon) Drain(ctx context.Context) int {
 	d.log.Info("leaving", "cause", "stop", "active", d.attempts.active())
 	d.startDraining()
@@ -57,7 +59,8 @@
 	maxHandoverChats = 4096
 )
 
-// handOver exports the cached prefix of each chat to the next engine in the chat's ranking.
+// handOver exports the cached prefix of each chat to the engine that ranks highest for the
+// chat, apart from the one that has it.
 func (d *Daemon) handOver(ctx context.Context) {
 	var exported atomic.Int64
 	g, ctx := errgroup.WithContext(ctx)
@@ -80,7 +83,8 @@
 	d.log.Info("handed_over", "chats", exported.Load())
 }
 
-// handOverChat exports the prefix of one chat and reports whether it arrived.
+// handOverChat exports the prefix of one chat and reports whether the other engine imported
+// it.
 func (d *Daemon) handOverChat(ctx context.Context, e *engine, chat uint64) bool {
 	e.mu.Lock()
 	tokens := e.cache.CachedTokens(chat)
@@ -89,6 +93,7 @@
 	if next == "" || tokens == 0 {
 		return false
 	}
+	// pollTimeout also limits the whole transfer of a prefix.
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout.Duration())
 	defer cancel()
 	blob, err := e.client.ExportPrefix(ctx, strconv.FormatUint(chat, 16))
--- a/engines/upstream/pool.go
+++ b/engines/upstream/pool.go
@@ -25,20 +25,20 @@
 )
 
 const (
-	// dialTimeout is about a hundred times the latency between data halls, and short
-	// enough that another engine can be tried before a caller notices the wait.
+	// dialTimeout limits the time to connect: about 100 times the latency between data
+	// halls, and short enough to try another engine before a caller notices the delay.
 	dialTimeout clock.Millis = 500
-	// probeTimeout is the dial timeout of a probe whether an engine that broke a
-	// connection still listens: about ten times the latency between data halls. Callers
-	// wait for the result before another engine is tried.
-	probeTimeout clock.Millis = 100
+	// checkDialTimeout limits the time to connect in ProcessEnded and Unresponsive: about
+	// 10 times the latency between data halls. Requests wait for the result before they are
+	// sent to another engine.
+	checkDialTimeout clock.Millis = 100
 	// idleTimeout is how long an idle connection is kept if the engine announces no
 	// timeout of its own.
 	idleTimeout clock.Millis = 4000
 	// idleMargin is subtracted from the timeout that an engine announces, so that no
 	// request arrives while the engine closes the connection.
 	idleMargin clock.Millis = 600
-	// readBufferSize is the size of a connection's read buffer in bytes, enough for two
+	// readBufferSize is the size of a connection's read buffer in bytes. It holds about two
 	// dozen events of a stream.
 	readBufferSize = 4 << 10
 )
@@ -56,9 +56,11 @@
 	link   *downlink.Downlink
 	dialer *net.Dialer
 	dials  *metrics.Counter
+	// strays counts responses that were discarded because their request ID is not that of
+	// the request.
 	strays *metrics.Counter
 	silent *metrics.Counter
-	// healthChecks counts the probes whether engines are unresponsive.
+	// healthChecks counts the requests by which Unresponsive checks engines.
 	healthChecks *metrics.Counter
 
 	mu sync.Mutex
@@ -71,9 +73,9 @@
 	maxConns map[string]int
 	// busy holds the connections of each address with an exchange in progress.
 	busy map[string]map[*conn]bool
-	// silentSince is, for each address with a silent connection, when data was last received
-	// or a request sent on it. If there are several, the latest time counts. A connection
-	// without received data since then may be silent too.
+	// silentSince holds, for each address that had a silent connection, when that connection
+	// last received data or was sent a request. If there were several, it is the latest such
+	// time. Connections that have received no data since then may be silent too.
 	silentSince map[string]clock.Millis
 }
 
@@ -100,8 +102,9 @@
 	p.maxConns[addr] = n
 }
 
-// Forget closes the idle connections to addr and drops all state of the address. It is
-// called when the engine is gone or another one has the address.
+// Forget closes the idle connections to addr, and removes its connection limit and what is
+// known of its silent connections. Exchanges in progress go on, and their connections still
+// count as open. Forget is called when the engine is gone or another one has the address.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
 	idle := p.idle[addr]
@@ -114,7 +117,8 @@
 	}
 }
 
-// CloseIdle closes all idle connections, as when the peers may be gone.
+// CloseIdle closes all idle connections. It is called after a suspension of this instance,
+// during which engines may have closed them.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
@@ -127,8 +131,8 @@
 	}
 }
 
-// CloseExpired closes connections that have been idle for too long, and idle ones that may
-// be silent.
+// CloseExpired closes connections that have been idle for too long. At addresses with an
+// exchange in progress, it also closes idle connections that may be silent.
 func (p *Pool) CloseExpired() {
 	now := p.clk.Now()
 	var old []*conn
@@ -181,8 +185,8 @@
 	link   *downlink.Downlink
 }
 
-// Read reads from the connection and counts the bytes, so that no response can be told
-// from an incomplete one.
+// Read reads from the connection and counts the bytes. The count shows whether a failed
+// exchange received part of a response or nothing.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.nc.Read(b)
 	if n > 0 {
@@ -214,10 +218,10 @@
 	return err == nil && quiet
 }
 
-// stale reports whether this instance was suspended since the engine last showed that it
-// holds the connection. The engine may have closed it meanwhile without this instance
-// receiving that. A response shows that the connection was open when its request was
-// sent, not when it was read: it may have arrived before the suspension.
+// stale reports whether this instance was suspended since the connection was last known to
+// be open. The engine may have closed it during the suspension without this instance
+// receiving that. A response shows that the connection was open when its request was sent,
+// but not when it was read: it may have arrived before the suspension.
 func (c *conn) stale() bool { return max(c.dialedAt, c.sentAt) < c.clk.ResumedAt() }
 
 // acquire returns an idle connection or a new one.
@@ -274,7 +278,7 @@
 // only if its machine refuses a connection. It returns false if the machine does not
 // respond in time. An established connection is kept for a later request.
 func (p *Pool) ProcessEnded(ctx context.Context, addr string) bool {
-	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, checkDialTimeout.Duration())
 	defer cancel()
 	c, err := p.dial(ctx, addr)
 	if err != nil {
@@ -291,7 +295,7 @@
 	if p.receivedSince(addr, since) {
 		return false
 	}
-	dialing, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
+	dialing, cancel := context.WithTimeout(ctx, checkDialTimeout.Duration())
 	defer cancel()
 	c, err := p.dial(dialing, addr)
 	if err != nil {
@@ -336,15 +340,16 @@
 // takeIdle removes and returns the most recently used idle connection, or nil. It closes
 // idle connections that may be silent.
 func (p *Pool) takeIdle(addr string) *conn {
-	c, old := p.takeReceived(addr)
+	c, old := p.popIdle(addr)
 	for _, o := range old {
 		p.discard(o)
 	}
 	return c
 }
 
-// takeReceived is takeIdle, but returns the connections that the caller must close.
-func (p *Pool) takeReceived(addr string) (c *conn, old []*conn) {
+// popIdle is takeIdle, but returns the connections that may be silent in old. The caller must
+// close them.
+func (p *Pool) popIdle(addr string) (c *conn, old []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old = p.removeSilent(addr, p.clk.Now())
@@ -396,10 +401,10 @@
 	p.silentSince[c.addr] = max(p.silentSince[c.addr], last)
 }
 
-// removeSilent checks the exchanges with addr for silence. It removes and returns the idle
-// connections that received no data after the latest silent one did: those that have are
-// known to work, and each of the others would cost a request to find out. The caller
-// holds mu, and must close the returned connections.
+// removeSilent marks silent exchanges with addr. It removes and returns the idle connections
+// that have received no data since silentSince. Each of these may be silent, and a request
+// would be lost to find out. Connections that have received data since are known to work.
+// The caller holds mu, and must close the returned connections.
 func (p *Pool) removeSilent(addr string, now clock.Millis) []*conn {
 	for c := range p.busy[addr] {
 		p.checkSilence(c, now)
--- a/engines/upstream/suspend_test.go
+++ b/engines/upstream/suspend_test.go
@@ -9,11 +9,11 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// These tests guard against the loss of the first request after an instance was suspended,
-// which was reset in 13 of 60 runs. An engine may close a connection during a suspension
-// without the instance receiving that. Idle connections used to be closed only by a
-// callback after the suspension, and a request could take one before it ran. There is no
-// callback here, so the tests pass only if the pool checks each connection that it takes.
+// These tests check that the first request after a suspension of the instance does not fail.
+// An engine may close a connection during a suspension without the instance receiving that.
+// A callback after the suspension closes idle connections, but a request may take one before
+// it runs. The tests have no such callback, so they pass only if the pool checks each
+// connection that it takes.
 
 func newSuspendedRig(t *testing.T) (*rig, *clocktest.Source) {
 	t.Helper()
@@ -21,7 +21,8 @@
 	return newRigOn(t, clock.FromSource(h)), h
 }
 
-// No request uses a connection that was idle during a suspension, however many there are.
+// No request uses a connection that was idle during a suspension, also if the pool has
+// several of them.
 func TestIdleConnectionIsNotUsedAfterSuspension(t *testing.T) {
 	r, h := newSuspendedRig(t)
 	r.keep(t, 4)
--- a/report/account/suspects.go
+++ b/report/account/suspects.go
@@ -20,12 +20,14 @@
 	first, last time.Time
 }
 
-// minEngines is how many engines must have crashed during a request for it to be
-// listed. The crash of a single engine counts against every request that it ran.
+// minEngines is the number of engines that must have crashed during a request
+// before it is listed. A single crash is too little evidence, since it counts
+// against every request that the engine ran.
 const minEngines = 2
 
-// suspectOf returns the suspect that a line names, updated with its time. It
-// returns nil if the line has no valid time or digest.
+// suspectOf returns the suspect with the digest in a log line, whose fields are f,
+// and includes the time of the line in its period. If the line has no valid time
+// or no digest, suspectOf counts it as skipped and returns nil.
 func (a *Account) suspectOf(f map[string]string) *suspect {
 	at, err := time.Parse(time.RFC3339Nano, f["time"])
 	if err != nil || f["asked"] == "" {
--- a/report/burn/burn.go
+++ b/report/burn/burn.go
@@ -1,7 +1,8 @@
 // Package burn measures the burn rates of the error budgets of service-level
 // objectives. It counts events in windows of several lengths, as for the
-// multiwindow alerts of the SRE workbook (chapter 5). A burn rate of 1 spends
-// the budget exactly. Callers pass the current time.
+// multiwindow alerts of the SRE workbook (chapter 5). At a burn rate of
+// 1, the share of bad events is exactly the share that the objective allows.
+// Callers pass the current time.
 package burn
 
 import (
@@ -24,7 +25,8 @@
 	Latency Objective = "latency"
 	// Whole is met by an admitted request with a complete response.
 	Whole Objective = "whole"
-	// Served is met by a valid request that is not refused.
+	// Served is met by a request that is not refused. Requests that fail by an error
+	// of the caller are not recorded as events.
 	Served Objective = "served"
 )
 
@@ -138,7 +140,7 @@
 	// firstToken and betweenTokens have latencies in microseconds by
 	// partner/service.
 	firstToken, betweenTokens map[string]*hdrhistogram.Histogram
-	// reuse is by partner.
+	// reuse is the cache reuse of returning chats, by partner.
 	reuse map[string]CacheReuse
 }
 
@@ -221,7 +223,9 @@
 
 // Percentiles has the latency percentiles of a partner/service.
 type Percentiles struct {
-	Flow string  `json:"flow"`
+	// Flow is partner/service.
+	Flow string `json:"flow"`
+	// What is the latency: first_token or between_tokens.
 	What string  `json:"what"`
 	P50  float64 `json:"p50_ms"`
 	P95  float64 `json:"p95_ms"`
