--- a/fleet/handle.go
+++ b/fleet/handle.go
@@ -10,7 +10,7 @@
 	"github.com/weldfall/weldfall/settings"
 )
 
-// Handle answers the control calls that every process accepts. It returns false for other
+// Handle handles the control calls that every process accepts. It returns false for other
 // methods.
 func (n *Node) Handle(method string, params json.RawMessage) (any, bool, error) {
 	switch method {
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -1,4 +1,4 @@
-// Package fleet is the part that all processes of the system share. A Node keeps the
+// Package fleet is the part that all processes of the fleet share. A Node keeps the
 // settings, the list of instances and the loads up to date by reading the platform or by
 // exchanging messages with peers, and it detects pauses of its own process.
 package fleet
@@ -122,8 +122,8 @@
 	wg.Wait()
 }
 
-// Ready reports whether the node knows enough to serve: it has read the platform or has
-// what its peers have.
+// Ready reports whether the node knows enough to serve: it has read the platform, has what
+// its peers have, or both (see startTimeout).
 func (n *Node) Ready() bool { return n.ready.Load() }
 
 // Effective returns the settings in force at path.
--- a/fleet/read.go
+++ b/fleet/read.go
@@ -18,7 +18,8 @@
 const readersPerHall = 2
 
 // isReader reports whether this process is one of those in its data hall that read the
-// platform: the ones ranked first for the hall's name.
+// platform: the ones ranked first for the hall's name. A process that is not live on the list
+// is a reader only if it has no peers.
 func (n *Node) isReader() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,14 +53,15 @@
 	readBackoff clock.Millis = 1000
 	// readerCheckPeriod is how often a process checks whether it is a reader.
 	readerCheckPeriod clock.Millis = 1000
-	// staleAfter is the age of the platform's latest response from which on processes other
-	// than the readers read it too.
+	// staleAfter is the age of the platform's latest response at which processes other than
+	// the readers begin to read it too.
 	staleAfter clock.Millis = 15_000
 	// fallbackReadsPerSecond is the approximate rate of such reads over the whole fleet.
 	fallbackReadsPerSecond = 20
 )
 
-// readLoop reads one topic of the platform while this process is a reader.
+// readLoop reads one topic of the platform while mayRead allows it. An entry, or a process
+// without bootstrap peers, also reads it when it starts.
 func (n *Node) readLoop(t source.Topic) func(context.Context) {
 	return func(ctx context.Context) {
 		// A daemon with peers does not read the platform at start: it needs only a small
@@ -83,8 +85,9 @@
 	}
 }
 
-// mayRead reports whether this process may read the platform now, as a reader or because
-// its data is stale.
+// mayRead reports whether this process may read the platform now. A reader always may. Another
+// process may from startTimeout after its start if it is not ready or its data is stale. Such
+// reads are random, so that the whole fleet makes about fallbackReadsPerSecond.
 func (n *Node) mayRead() bool {
 	if n.isReader() {
 		return true
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -27,9 +27,8 @@
 // admit rejects requests that a stopping process might have to abort and, if other entries
 // serve in its place, requests that would keep it from ending. A rejected request has not
 // run anywhere. The maximum duration of a response follows from the number of events that
-// it can have and not from the longest response seen: with the latter, stopping processes
-// admitted and aborted 2 to 8 responses in 30 s in which each of 26 processes was stopped
-// three times.
+// it can have. The longest response seen is too low a limit: stopping processes admitted
+// requests by it that they had to abort.
 func (g *Gate) admit(_ context.Context, c *call) *verdict.Error {
 	g.setExpected(c)
 	if g.shutdown.started() {
@@ -127,9 +126,8 @@
 // flight end, so that it is back sooner.
 //
 // While the load balancer still sends it callers, an entry that is not replaced goes by the
-// typical duration. Callers that it rejected would reach other stopping entries, where a
-// response that is admitted then is aborted with a probability of one in 280 (six thousand
-// simulated stops).
+// typical duration. Callers that it rejected would reach other stopping entries. A response
+// that is admitted by its typical duration is aborted with a probability of one in 280.
 func (g *Gate) admissionLimit() admissionLimit {
 	endsBy := clock.Millis(g.shutdown.endsBy.Load())
 	balancerSends := !g.shutdown.idleClosed.Load()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -164,7 +164,7 @@
 	tableEpoch int64
 	// fleet is the state of the other entries. The first entry confirms the table for all.
 	fleet peers.Fleet
-	// shares computes this entry's part of fleet-wide quotas among others. warmupParts caches
+	// shares computes this entry's part of the quotas of the whole fleet. warmupParts caches
 	// its part for each engine in warm-up, by engine ID, until shares changes. maxEntries is
 	// the largest number of entries ever known.
 	shares      peers.Shares
@@ -245,8 +245,8 @@
 
 // minConnParts is the minimum number of parts into which the connections to an engine are
 // divided. If more entries are known, there is one part for each, so that all together stay
-// below the published number. With a fixed twelfth for each, 103 entries opened eight
-// times that number.
+// below the published number. With a fixed part of a twelfth, 103 entries opened eight times
+// that number.
 const minConnParts = 12
 
 // minConns is the number of connections that an entry may always open.
--- a/gate/place.go
+++ b/gate/place.go
@@ -12,7 +12,7 @@
 )
 
 // choose chooses the engine for the next attempt and counts the request there. An isolated
-// request goes where the fewest others are.
+// request goes to the least loaded engine.
 func (g *Gate) choose(c *call, isolated bool) (pick, *verdict.Error) {
 	now := g.clk.Now()
 	g.mu.Lock()
--- a/gate/status.go
+++ b/gate/status.go
@@ -25,11 +25,9 @@
 	// the report to reach the others.
 	randomDuePart = 0.85
 	firstDuePart  = 0.35
-	// firstOfManyDuePart replaces firstDuePart if there are more than manyEntries, because
-	// the report then takes several hops. If the table is confirmed every 0.65 s, the report
-	// at one of 103 entries is older than 1.46 s a tenth of the time, and an older one costs
-	// a call of its own. With this part, and neighbours a fifth of the way to the first
-	// entry, 103 entries confirm 800 times in 58 s instead of 1,350.
+	// firstOfManyDuePart replaces firstDuePart if there are more than manyEntries. The report
+	// then takes several hops, and an entry that it reaches too late makes a call of its own.
+	// The first entry therefore confirms earlier, which saves calls of the others.
 	firstOfManyDuePart = 0.18
 	manyEntries        = 32
 	// watchDuePart is the part of the bound for changes in which a watch may deliver a
--- a/gate/table.go
+++ b/gate/table.go
@@ -8,8 +8,8 @@
 )
 
 // SetTable puts a version of the routes and keys in force; a describes how it arrived. A
-// version older than the one in force is ignored. It only shows that nothing newer is
-// published, once the store has everything that was written before its epoch.
+// version older than the one in force is ignored. If it is of a later epoch, it confirms the
+// one in force, as long as the store cannot lack what was written before that epoch.
 func (g *Gate) SetTable(t *table.Table, a table.Arrival) {
 	old := g.table.Load()
 	if old != nil && t.Version() < old.Version() {
--- a/gate/unresponsive.go
+++ b/gate/unresponsive.go
@@ -15,15 +15,15 @@
 	// healthCheckTimeout is how long an engine with a free slot may take to answer a health
 	// check.
 	healthCheckTimeout clock.Millis = 100
-	// healthCheckGoalPart is the minimum part of its goal that an attempt waits without
-	// output before the health of its engine is checked.
+	// healthCheckGoalPart is the fraction of its goal that an attempt waits at least for a
+	// response before the health of its engine is checked.
 	healthCheckGoalPart = 0.5
 )
 
-// watchForSilence checks whether the engine is unresponsive if the attempt gets no output
-// for a part of its goal and for longer than the latest responses of its route took. The
-// caller must call the returned function, which ends this, once the header of the response
-// has arrived or none will arrive.
+// watchForSilence checks whether the engine is unresponsive if the attempt gets no response
+// for healthCheckGoalPart of its goal and for longer than recent responses of its route took.
+// Once the header of the response has arrived, or none will arrive, the caller must call the
+// returned function, which ends the watch.
 func (g *Gate) watchForSilence(ctx context.Context, c *call, e engines.Info, sent clock.Millis) (answered func()) {
 	service, _ := c.table.Service(c.service)
 	if !strings.HasPrefix(service.HealthPath, "/") {
@@ -46,9 +46,9 @@
 	}
 }
 
-// isUnresponsive reports whether an engine has given no sign of life since the given time:
-// nothing that it was sent gets a response, although its machine accepts connections. An
-// entry without contact to others cannot tell.
+// isUnresponsive reports whether an engine has sent nothing since the given time and does not
+// respond to a health check, although its machine accepts connections. It returns false
+// without contact to other entries, since the fault may then be at this entry.
 func (g *Gate) isUnresponsive(ctx context.Context, e engines.Info, healthPath string, since clock.Millis) bool {
 	if g.contact() == quarantine.Isolated {
 		return false
@@ -65,7 +65,7 @@
 	return g.pool.Unresponsive(ctx, e.Addr, req, since, healthCheckTimeout)
 }
 
-// skipUnresponsive keeps the request from engines that became unresponsive under it.
+// skipUnresponsive keeps the request from engines that became unresponsive while they ran it.
 // Running it there again would show nothing new.
 func (g *Gate) skipUnresponsive(c *call) {
 	hashes := g.guard.UnresponsiveIncarnations(c.suspect())
