--- a/integration/callers_test.go
+++ b/integration/callers_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTheUsualClientRunsUnchanged(t *testing.T) {
+func TestOpenAIClient(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 2, Entries: 1, EngineArgs: []string{"--gap-ms", "20"}})
 	c := client(f.Entries[0], fleettest.Key("planning", "ws0"))
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -77,7 +77,7 @@
 	})
 }
 
-// idle reports whether no engine has a request, by the daemons' own count.
+// idle reports whether no engine has a request according to its daemon.
 func idle(f *fleettest.Fleet) bool {
 	for _, d := range f.EngineDaemons {
 		if strings.Contains(d.Page("/engines"), `"requests": 1`) {
@@ -87,7 +87,7 @@
 	return true
 }
 
-func TestBadInputGetsAClearErrorAndReachesNoEngine(t *testing.T) {
+func TestInvalidRequestGetsErrorAndReachesNoEngine(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1, Fleet: "[limits]\nbody_bytes = 2000\n"})
 	e := f.Entries[0]
 	good := chat(e, chatBody(false, 2, "x"))
@@ -107,7 +107,7 @@
 		"unknown model":   {edit(func(q *request) { q.body = `{"model":"x","messages":[{"role":"user","content":"x"}]}` }), 404, "unknown_model"},
 		"wrong key":       {edit(func(q *request) { q.key = "planning.ws0.x" }), 401, "unauthorized"},
 		"no service pool": {edit(func(q *request) { q.path = "/services/nothing/x" }), 400, "bad_request"},
-		"bad mark":        {edit(func(q *request) { q.headers = map[string]string{"Weldfall-Repeatable": "maybe"} }), 400, "bad_request"},
+		"bad marker":      {edit(func(q *request) { q.headers = map[string]string{"Weldfall-Repeatable": "maybe"} }), 400, "bad_request"},
 		"key from the future": {edit(func(q *request) {
 			q.headers = map[string]string{"Idempotency-Key": "ffffffff-ffff-7000-8000-000000000000"}
 		}), 400, "bad_request"},
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestASlowCallerDoesNotHoldUpOthers(t *testing.T) {
+func TestSlowCallerDoesNotDelayOthers(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1, EngineArgs: []string{"--gap-ms", "0"}})
 	body := chatBody(true, 60_000, "much")
 	conn, err := net.Dial("tcp", f.Entries[0].CallerAddr)
@@ -139,13 +139,13 @@
 		t.Fatal(err)
 	}
 	for range 10 {
-		if a := chat(f.Entries[0], chatBody(true, 5, "short")).send(); !a.whole {
-			t.Fatalf("beside a slow caller: got %d %s, want a whole answer", a.status, a.reason)
+		if a := chat(f.Entries[0], chatBody(true, 5, "short")).send(); !a.complete {
+			t.Fatalf("beside a slow caller: got %d %s, want a complete response", a.status, a.reason)
 		}
 	}
 }
 
-func TestAHalfSentRequestAndAHalfSentHeaderAreLetGo(t *testing.T) {
+func TestIncompleteHeaderTimesOut(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1})
 	conn, err := net.Dial("tcp", f.Entries[0].CallerAddr)
 	if err != nil {
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestAnEntryStartsWithoutThePlatformAndSaysSo(t *testing.T) {
+func TestEntryStartsWithoutPlatform(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1})
 	f.SetPlatformMode("down")
 	e := f.StartEntryWithoutPeers(0)
@@ -170,13 +170,13 @@
 		t.Error("got ready, want not ready")
 	}
 	if a := chat(e, chatBody(false, 1, "x")).send(); a.status != http.StatusServiceUnavailable || a.verdict != "not_run" || a.header.Get("Retry-After") == "" {
-		t.Errorf("got %d %q, want 503 not_run and when to come back", a.status, a.verdict)
+		t.Errorf("got %d %q, want 503, not_run and Retry-After", a.status, a.verdict)
 	}
 	f.SetPlatformMode("ok")
 	f.Eventually("ready when the platform is back", e.Ready)
 }
 
-func TestATakenPortAndBadFilesAreOneLineWithTheRemedy(t *testing.T) {
+func TestStartErrorsAreOneLineWithRemedy(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -206,33 +206,33 @@
 	}
 }
 
-func TestTheChatIsKnownByHeaderFieldOrOpening(t *testing.T) {
+func TestChatIsIdentifiedByHeaderFieldOrOpening(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 4, Entries: 2, EngineArgs: []string{"--gap-ms", "0", "--tokens", "4"}})
 	opening := strings.Repeat("an opening that stays the same ", 20)
 	first := chat(f.Entries[0], chatBody(false, 4, opening)).send()
 	for name, q := range map[string]request{
 		"opening": chat(f.Entries[1], chatBody(false, 4, opening, first.content, "more")),
 	} {
-		if a := q.send(); !a.whole || strings.Contains(a.body, `"cached_tokens":0}`) {
+		if a := q.send(); !a.complete || strings.Contains(a.body, `"cached_tokens":0}`) {
 			t.Errorf("%s: got %s, want a cached prefix through the other entry", name, a.body)
 		}
 	}
-	if got, want := first.header.Get("Weldfall-Hint"), fieldOf(f.Entries[0].Log(), "engine"); got == "" || got != want {
+	if got, want := first.header.Get("Weldfall-Hint"), logField(f.Entries[0].Log(), "engine"); got == "" || got != want {
 		t.Errorf("hint: got %q, want the engine %q", got, want)
 	}
 	forged := chat(f.Entries[1], chatBody(false, 4, opening, first.content, "again"))
 	forged.headers = map[string]string{"Weldfall-Hint": "engine-99"}
-	if a := forged.send(); !a.whole {
-		t.Errorf("forged hint: got %d %s, want a whole answer", a.status, a.reason)
+	if a := forged.send(); !a.complete {
+		t.Errorf("forged hint: got %d %s, want a complete response", a.status, a.reason)
 	}
 	withKey := strings.Replace(chatBody(false, 4, "changing "+opening), `"stream"`, `"prompt_cache_key":"chat-7","stream"`, 1)
 	header := map[string]string{"Weldfall-Chat": "chat-8"}
 	for range 2 {
 		for _, e := range f.Entries {
-			if a := (request{entry: e, path: "/v1/chat/completions", key: fleettest.Key("planning", "ws0"), body: withKey}).send(); !a.whole {
+			if a := (request{entry: e, path: "/v1/chat/completions", key: fleettest.Key("planning", "ws0"), body: withKey}).send(); !a.complete {
 				t.Errorf("field: got %d %s", a.status, a.reason)
 			}
-			if a := (request{entry: e, path: "/v1/chat/completions", key: fleettest.Key("planning", "ws0"), body: chatBody(false, 4, "other "+opening), headers: header}).send(); !a.whole {
+			if a := (request{entry: e, path: "/v1/chat/completions", key: fleettest.Key("planning", "ws0"), body: chatBody(false, 4, "other "+opening), headers: header}).send(); !a.complete {
 				t.Errorf("header: got %d %s", a.status, a.reason)
 			}
 		}
@@ -240,7 +240,7 @@
 	engines := map[string]bool{}
 	for _, line := range strings.Split(f.Entries[0].Log()+f.Entries[1].Log(), "\n") {
 		if strings.Contains(line, "msg=request") {
-			engines[fieldOf(line, "chat")+" "+fieldOf(line, "engine")] = true
+			engines[logField(line, "chat")+" "+logField(line, "engine")] = true
 		}
 	}
 	if got, want := len(engines), 3; got != want {
@@ -248,13 +248,13 @@
 	}
 }
 
-func fieldOf(line, key string) string {
+func logField(line, key string) string {
 	_, rest, _ := strings.Cut(line, " "+key+"=")
 	v, _, _ := strings.Cut(rest, " ")
 	return v
 }
 
-func TestAWorkspaceOverItsRateIsToldWhenToComeBack(t *testing.T) {
+func TestRateLimitedWorkspaceGetsRetryAfter(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1, EngineArgs: []string{"--gap-ms", "0"}})
 	f.PutConfig("planning/ws1/chat", "[limits]\ntokens_per_second = 100.0\nburst_tokens = 400\n")
 	q := chat(f.Entries[0], chatBody(false, 100, "x"))
@@ -272,22 +272,22 @@
 		}
 	}
 	if limited < 5 {
-		t.Errorf("got %d limited of 10, want most", limited)
+		t.Errorf("got %d of 10 limited, want at least 5", limited)
 	}
 	if got, want := len(f.StartedRuns(f.Engines[0])), 10-limited; got != want {
 		t.Errorf("got %d runs, want %d", got, want)
 	}
 }
 
-// A test that counts runs after an answer counts the run of that answer too.
-func TestARunIsKnownOnceItsAnswerIs(t *testing.T) {
+// Tests that count runs after a response rely on the run of that response being counted.
+func TestRunIsRecordedBeforeItsResponse(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Entries: 1, EngineArgs: []string{"--gap-ms", "0"}})
 	for i := 1; i <= 500; i++ {
-		if a := chat(f.Entries[0], chatBody(false, 1, "x")).send(); !a.whole {
-			t.Fatalf("answer %d: got %d %s, want it whole", i, a.status, a.reason)
+		if a := chat(f.Entries[0], chatBody(false, 1, "x")).send(); !a.complete {
+			t.Fatalf("response %d: got %d %s, want it complete", i, a.status, a.reason)
 		}
 		if got, want := len(f.StartedRuns(f.Engines[0])), i; got != want {
-			t.Fatalf("after answer %d: got %d runs, want %d", i, got, want)
+			t.Fatalf("after response %d: got %d runs, want %d", i, got, want)
 		}
 	}
 }
--- a/integration/cost_test.go
+++ b/integration/cost_test.go
@@ -15,24 +15,24 @@
 	"github.com/weldfall/weldfall/internal/fleettest"
 )
 
-// flow is what a number of streams cost.
-type flow struct {
+// streamStats holds the measurements of a number of streams.
+type streamStats struct {
 	first  []int64
 	tokens int
 }
 
-func (f *flow) median() float64 {
+func (f *streamStats) median() float64 {
 	slices.Sort(f.first)
 	return float64(f.first[len(f.first)/2]) / 1000
 }
 
-// stream runs rounds of n streams at a time against url.
-func stream(b *testing.B, url, key string, n, rounds, tokens int) *flow {
+// stream sends the given number of rounds of n concurrent streams to url.
+func stream(b *testing.B, url, key string, n, rounds, tokens int) *streamStats {
 	b.Helper()
 	clk := clock.System()
 	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: n}}
 	defer h.CloseIdleConnections()
-	out := &flow{}
+	out := &streamStats{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for s := range n {
@@ -70,17 +70,17 @@
 	return out
 }
 
-// BenchmarkPath measures the same load straight to an engine and through
-// entry and daemon, in one run: run it with -benchtime 1x.
+// BenchmarkPath measures the same load directly at an engine and through entry and daemon,
+// in one run. Run it with -benchtime 1x.
 func BenchmarkPath(b *testing.B) {
 	for _, gap := range []string{"5", "0"} {
 		for _, n := range []int{1, 64, 512} {
-			b.Run(fmt.Sprintf("gap_ms=%s/streams=%d", gap, n), func(b *testing.B) { path(b, gap, n) })
+			b.Run(fmt.Sprintf("gap_ms=%s/streams=%d", gap, n), func(b *testing.B) { benchmarkPath(b, gap, n) })
 		}
 	}
 }
 
-// BenchmarkRequest measures a request of one token: run it with -benchtime 1x.
+// BenchmarkRequest measures requests of one token. Run it with -benchtime 1x.
 func BenchmarkRequest(b *testing.B) {
 	f := fleettest.Start(b, fleettest.Spec{
 		Engines: 1, Entries: 1, Direct: true, Fleet: "[limits]\nqueue_per_engine = 1000\n",
@@ -97,7 +97,7 @@
 	}
 }
 
-func path(b *testing.B, gap string, n int) {
+func benchmarkPath(b *testing.B, gap string, n int) {
 	f := fleettest.Start(b, fleettest.Spec{
 		Engines: 1, Entries: 1, Direct: true, Fleet: "[limits]\nqueue_per_engine = 1000\n",
 		EngineArgs: []string{"--gap-ms", gap, "--prefill", "0", "--slots", "1000"},
@@ -120,8 +120,8 @@
 	}
 }
 
-// BenchmarkControl measures what a process spends at rest, while a setting
-// changes each second: run it with -benchtime 1x.
+// BenchmarkControl measures the idle cost of a process while a setting changes each second.
+// Run it with -benchtime 1x.
 func BenchmarkControl(b *testing.B) {
 	for _, engines := range []int{6, 27} {
 		b.Run(fmt.Sprint("processes=", engines+3), func(b *testing.B) {
--- a/integration/drain_ends_test.go
+++ b/integration/drain_ends_test.go
@@ -13,15 +13,15 @@
 	"github.com/weldfall/weldfall/internal/fleettest"
 )
 
-// An answer that the end of an entry's drain cut ended in order, as a whole one does to callers
-// of HTTP/1.0.
-func TestAnAnswerThatTheEndOfADrainCutsIsToldAsBrokenOff(t *testing.T) {
+// Guards against a response that the end of an entry's drain breaks ending like a complete
+// one for HTTP/1.0 callers.
+func TestResponseBrokenByEndOfDrainIsIncomplete(t *testing.T) {
 	for name, end := range map[string]func(*fleettest.Process){"stopped": (*fleettest.Process).Terminate, "killed": (*fleettest.Process).Kill} {
-		t.Run(name, func(t *testing.T) { checkEnd(t, end) })
+		t.Run(name, func(t *testing.T) { checkDrainEnd(t, end) })
 	}
 }
 
-func checkEnd(t *testing.T, end func(*fleettest.Process)) {
+func checkDrainEnd(t *testing.T, end func(*fleettest.Process)) {
 	t.Helper()
 	f := fleettest.Start(t, fleettest.Spec{Entries: 1, Direct: true})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,17 +55,17 @@
 	f.PutConfig("fleet", "[leave]\ndrain_ms = 1000\n")
 	f.WaitReady()
 	f.Eventually("drain", func() bool { return fmt.Sprint(f.Entries[0].EffectiveSetting("fleet", "leave.drain_ms")) == "1000" })
-	got := make(chan seen, 1)
+	got := make(chan rawResponse, 1)
 	go func() { got <- service(f, "/slow").sendRaw(t, "HTTP/1.0") }()
 	time.Sleep(500 * time.Millisecond)
 	end(f.Entries[0])
 	select {
 	case s := <-got:
-		t.Logf("status %d, %d bytes, %s, %v", s.status, len(s.body), s.framed, s.end)
-		if s.status == http.StatusOK && s.framed == framing.UntilClose && s.end == nil {
-			t.Errorf("got %d bytes and an orderly end, want one that tells that the answer broke off", len(s.body))
+		t.Logf("status %d, %d bytes, %s, %v", s.status, len(s.body), s.framed, s.err)
+		if s.status == http.StatusOK && s.framed == framing.UntilClose && s.err == nil {
+			t.Errorf("got %d bytes and a proper end, want a broken connection", len(s.body))
 		}
 	case <-time.After(15 * time.Second):
-		t.Error("got no end")
+		t.Error("got no end of the response")
 	}
 }
--- a/integration/faults_test.go
+++ b/integration/faults_test.go
@@ -18,21 +18,21 @@
 	"github.com/weldfall/weldfall/standin/engine"
 )
 
-// schedule is a row of faults: what happens, and what mends it.
-type schedule struct {
-	name  string
-	fault func(f *fleettest.Fleet)
-	mend  func(f *fleettest.Fleet)
+// faultCase is a sequence of faults and its repair.
+type faultCase struct {
+	name   string
+	fault  func(f *fleettest.Fleet)
+	repair func(f *fleettest.Fleet)
 }
 
-func heal(f *fleettest.Fleet)   { f.Net.Heal() }
-func nothing(*fleettest.Fleet)  {}
-func mode(m string) fault       { return func(f *fleettest.Fleet) { f.SetPlatformMode(m) } }
-func all(faults ...fault) fault { return func(f *fleettest.Fleet) { run(f, faults) } }
+func heal(f *fleettest.Fleet)        { f.Net.Heal() }
+func noFault(*fleettest.Fleet)       {}
+func platformMode(m string) fault    { return func(f *fleettest.Fleet) { f.SetPlatformMode(m) } }
+func sequence(faults ...fault) fault { return func(f *fleettest.Fleet) { apply(f, faults) } }
 
 type fault func(f *fleettest.Fleet)
 
-func run(f *fleettest.Fleet, faults []fault) {
+func apply(f *fleettest.Fleet, faults []fault) {
 	for _, x := range faults {
 		x(f)
 	}
@@ -72,7 +72,7 @@
 		wait(100)
 	}
 }
-func operators(f *fleettest.Fleet) {
+func concurrentEdits(f *fleettest.Fleet) {
 	for i := range 10 {
 		f.PutConfig("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 100_000+i))
 		f.PutConfig("planning", "[limits]\ndeadline_ms = \"broken\"\n")
@@ -85,12 +85,12 @@
 	)
 }
 
-var schedules = []schedule{
-	{"nothing", nothing, nothing},
-	{"kill engine daemon", killEngineDaemon, nothing},
-	{"kill service daemon", killServiceDaemon, nothing},
-	{"kill engine", killEngine, nothing},
-	{"kill entry", killEntry, nothing},
+var faultCases = []faultCase{
+	{"nothing", noFault, noFault},
+	{"kill engine daemon", killEngineDaemon, noFault},
+	{"kill service daemon", killServiceDaemon, noFault},
+	{"kill engine", killEngine, noFault},
+	{"kill entry", killEntry, noFault},
 	{"freeze engine daemon", freezeEngineDaemon, thawEngineDaemon},
 	{"freeze service daemon", freezeServiceDaemon, thawServiceDaemon},
 	{"freeze entry", freezeEntry, thawEntry},
@@ -99,26 +99,26 @@
 	{"cut service daemon to entries one way", func(f *fleettest.Fleet) { f.Net.Cut("desk-0-daemon", fleettest.Any) }, heal},
 	{"cut daemon to engine", func(f *fleettest.Fleet) { f.Net.CutBoth("engine-0-daemon", "engine-0") }, heal},
 	{"cut daemon from service one way", func(f *fleettest.Fleet) { f.Net.Cut("desk-0", "desk-0-daemon") }, heal},
-	{"delay answers", func(f *fleettest.Fleet) { f.Net.Delay("engine-0-daemon", fleettest.Any, 300) }, heal},
-	{"reset links to daemons", all(resetLinks, func(*fleettest.Fleet) { wait(300) }, resetLinks), nothing},
-	{"reset links to engines", all(resetEngineLinks, func(*fleettest.Fleet) { wait(300) }, resetEngineLinks), nothing},
+	{"delay responses", func(f *fleettest.Fleet) { f.Net.Delay("engine-0-daemon", fleettest.Any, 300) }, heal},
+	{"reset links to daemons", sequence(resetLinks, func(*fleettest.Fleet) { wait(300) }, resetLinks), noFault},
+	{"reset links to engines", sequence(resetEngineLinks, func(*fleettest.Fleet) { wait(300) }, resetEngineLinks), noFault},
 	{"split fleet", splitFleet, heal},
-	{"platform down", mode("down"), mode("ok")},
-	{"platform stale", mode("stale"), mode("ok")},
-	{"flapping list", flapList, nothing},
-	{"operators race", operators, nothing},
-	{"platform down and kill service daemon", all(mode("down"), killServiceDaemon), mode("ok")},
-	{"platform stale and flapping list", all(mode("stale"), flapList), mode("ok")},
-	{"freeze service daemon and kill entry", all(freezeServiceDaemon, killEntry), thawServiceDaemon},
-	{"split fleet and kill engine daemon", all(splitFleet, killEngineDaemon), heal},
-	{"reset links and freeze engine daemon", all(resetLinks, freezeEngineDaemon, resetEngineLinks), thawEngineDaemon},
-	{"kill two service daemons", all(killServiceDaemon, func(f *fleettest.Fleet) { f.ServiceDaemons[1].Kill() }), nothing},
+	{"platform down", platformMode("down"), platformMode("ok")},
+	{"platform stale", platformMode("stale"), platformMode("ok")},
+	{"flapping list", flapList, noFault},
+	{"concurrent edits", concurrentEdits, noFault},
+	{"platform down and kill service daemon", sequence(platformMode("down"), killServiceDaemon), platformMode("ok")},
+	{"platform stale and flapping list", sequence(platformMode("stale"), flapList), platformMode("ok")},
+	{"freeze service daemon and kill entry", sequence(freezeServiceDaemon, killEntry), thawServiceDaemon},
+	{"split fleet and kill engine daemon", sequence(splitFleet, killEngineDaemon), heal},
+	{"reset links and freeze engine daemon", sequence(resetLinks, freezeEngineDaemon, resetEngineLinks), thawEngineDaemon},
+	{"kill two service daemons", sequence(killServiceDaemon, func(f *fleettest.Fleet) { f.ServiceDaemons[1].Kill() }), noFault},
 }
 
 func wait(ms int) { time.Sleep(time.Duration(ms) * time.Millisecond) }
 
-// workload sends chats and keyed service calls while faults go on, and keeps
-// what each caller was told.
+// workload sends chats and service calls with idempotency keys during faults, and records
+// the responses.
 type workload struct {
 	f    *fleettest.Fleet
 	t    *testing.T
@@ -126,30 +126,30 @@
 	wg   sync.WaitGroup
 
 	mu sync.Mutex
-	// chats and calls are what callers sent and got.
-	chats []told
-	calls map[string][]answer
-	whole int
+	// chats and calls are the requests with their responses.
+	chats    []chatResult
+	calls    map[string][]response
+	complete int
 }
 
-type told struct {
-	body   string
-	tokens int
-	stream bool
-	answer answer
+type chatResult struct {
+	body     string
+	tokens   int
+	stream   bool
+	response response
 }
 
 func newWorkload(t *testing.T, f *fleettest.Fleet) *workload {
-	return &workload{f: f, t: t, calls: map[string][]answer{}}
+	return &workload{f: f, t: t, calls: map[string][]response{}}
 }
 
-// wholeSoFar counts the whole answers to chats.
-func (w *workload) wholeSoFar() int {
+// completeChats returns the number of complete chat responses.
+func (w *workload) completeChats() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
 	for _, c := range w.chats {
-		if c.answer.whole {
+		if c.response.complete {
 			n++
 		}
 	}
@@ -160,7 +160,7 @@
 	return w.f.Entries[r.IntN(len(w.f.Entries))]
 }
 
-// chat sends turns of one chat after the other until the end.
+// chat sends the turns of consecutive chats until stop is set.
 func (w *workload) chat(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var turns []string
@@ -169,31 +169,31 @@
 			turns = nil
 		}
 		turns = append(turns, fmt.Sprintf("chat %d turn %d %s", seed, n, strings.Repeat("x", r.IntN(400))))
-		c := told{tokens: 5 + r.IntN(40), stream: n%3 != 0}
+		c := chatResult{tokens: 5 + r.IntN(40), stream: n%3 != 0}
 		c.body = chatBody(c.stream, c.tokens, turns...)
-		c.answer = chat(w.entry(r), c.body).send()
+		c.response = chat(w.entry(r), c.body).send()
 		w.mu.Lock()
 		w.chats = append(w.chats, c)
 		w.mu.Unlock()
-		if !c.answer.whole {
+		if !c.response.complete {
 			turns = nil
 			wait(20)
 			continue
 		}
-		turns = append(turns, c.answer.content)
+		turns = append(turns, c.response.content)
 	}
 }
 
-// call sends service calls that may not be repeated, each several times
-// through any entry, as a caller does who did not get an answer.
+// call sends service calls that must not run twice, each several times through random
+// entries, like a caller that got no response.
 func (w *workload) call(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for n := 0; !w.stop.Load(); n++ {
 		key := uuid7(r)
 		q := request{path: "/services/desk/fees", key: fleettest.Key("vigia", "ws0"), body: key, headers: map[string]string{"Idempotency-Key": key}}
-		repeats := 1 + r.IntN(3)
+		attempts := 1 + r.IntN(3)
 		var wg sync.WaitGroup
-		for range repeats {
+		for range attempts {
 			q.entry = w.entry(r)
 			once := q
 			wg.Go(func() {
@@ -208,7 +208,7 @@
 	}
 }
 
-// uuid7 makes a UUID of version 7 (RFC 9562) for now.
+// uuid7 returns a UUID of version 7 (RFC 9562) for the current time.
 func uuid7(r *rand.Rand) string {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], uint64(clock.System().Wall())<<16)
@@ -219,8 +219,8 @@
 	return hex.EncodeToString(b[:])
 }
 
-// judge compares what callers were told with what really ran.
-func (w *workload) judge() {
+// check compares the responses with the runs of the targets.
+func (w *workload) check() {
 	w.t.Helper()
 	byCaller, byRequest := map[string]int{}, map[string]int{}
 	for _, p := range append(append([]*fleettest.Process(nil), w.f.Services...), w.f.Engines...) {
@@ -229,95 +229,95 @@
 			byRequest[r.Key]++
 		}
 	}
-	w.judgeCalls(byCaller)
-	w.judgeChats(byRequest)
+	w.checkCalls(byCaller)
+	w.checkChats(byRequest)
 }
 
-func (w *workload) judgeCalls(ran map[string]int) {
+func (w *workload) checkCalls(ran map[string]int) {
 	w.t.Helper()
 	unanswered, unknown := 0, 0
-	for key, answers := range w.calls {
-		runs, whole, notRun := ran[key], 0, 0
-		for _, a := range answers {
-			if a.whole {
-				whole++
+	for key, responses := range w.calls {
+		runs, complete, notRun := ran[key], 0, 0
+		for _, a := range responses {
+			if a.complete {
+				complete++
 				if !strings.Contains(a.body, fmt.Sprintf(`"bytes":%d`, len(key))) {
-					w.t.Errorf("key %s: got the answer %s, want its own", key, a.body)
+					w.t.Errorf("key %s: got the response %s of another request", key, a.body)
 				}
 			}
 			if a.verdict == "not_run" {
 				notRun++
 			}
 		}
-		if whole == 0 {
+		if complete == 0 {
 			unanswered++
 			if runs == 0 {
 				unknown++
 			}
 		}
-		if runs > 1 || whole > 1 {
-			w.t.Errorf("key %s: got %d runs and %d answers, want at most one", key, runs, whole)
+		if runs > 1 || complete > 1 {
+			w.t.Errorf("key %s: got %d runs and %d responses, want at most one", key, runs, complete)
 		}
-		if notRun == len(answers) && runs > 0 {
-			w.t.Errorf("key %s: got %d runs after not_run alone", key, runs)
+		if notRun == len(responses) && runs > 0 {
+			w.t.Errorf("key %s: got %d runs though all attempts reported not_run", key, runs)
 		}
 	}
-	w.t.Logf("%d keys, %d without an answer, %d of them had not run", len(w.calls), unanswered, unknown)
+	w.t.Logf("%d keys, %d without a response, %d of them had not run", len(w.calls), unanswered, unknown)
 }
 
-func (w *workload) judgeChats(ran map[string]int) {
+func (w *workload) checkChats(ran map[string]int) {
 	w.t.Helper()
-	whole, failed := 0, map[string]int{}
+	complete, failed := 0, map[string]int{}
 	for _, c := range w.chats {
 		want := engine.Content([]byte(c.body), c.tokens)
-		a := c.answer
+		a := c.response
 		switch {
-		case a.whole && a.content != want:
-			w.t.Errorf("got another answer than the engine made:\n%s\nwant\n%s", a.content, want)
-		case a.whole:
-			whole++
+		case a.complete && a.content != want:
+			w.t.Errorf("got a response that differs from the one of the engine:\n%s\nwant\n%s", a.content, want)
+		case a.complete:
+			complete++
 		case !strings.HasPrefix(want, a.content):
-			w.t.Errorf("a cut answer: got %s, want a beginning of %s", a.content, want)
+			w.t.Errorf("broken response: got %s, want a prefix of %s", a.content, want)
 		default:
 			failed[a.verdict+" "+a.reason]++
 		}
-		if a.verdict == "not_run" && ran[requestOf(a)] > 0 {
-			w.t.Errorf("request %s: told not_run (%s), but it ran", requestOf(a), a.reason)
+		if a.verdict == "not_run" && ran[requestID(a)] > 0 {
+			w.t.Errorf("request %s: got not_run (%s), but it ran", requestID(a), a.reason)
 		}
 	}
-	w.whole = whole
-	w.t.Logf("%d chats, %d whole, others %v", len(w.chats), whole, failed)
+	w.complete = complete
+	w.t.Logf("%d chats, %d complete, others %v", len(w.chats), complete, failed)
 }
 
-func requestOf(a answer) string {
+func requestID(a response) string {
 	if a.header == nil {
 		return "none"
 	}
 	return a.header.Get("X-Request-Id")
 }
 
-// recovered waits until requests through every entry that lives succeed.
-func (w *workload) recovered() {
+// waitRecovered waits until requests succeed through every running entry.
+func (w *workload) waitRecovered() {
 	w.t.Helper()
 	for _, e := range w.f.Entries {
 		if e.Exited() {
 			continue
 		}
-		w.f.Eventually("answer through "+e.Name, func() bool {
-			return chat(e, chatBody(false, 3, "after")).send().whole
+		w.f.Eventually("response through "+e.Name, func() bool {
+			return chat(e, chatBody(false, 3, "after")).send().complete
 		})
 	}
 }
 
-// faultTime is how long a fault lasts, and how long the load goes on after.
-const faultTime = 1800
+// faultMillis is how long a fault lasts, and how long the load continues after its repair.
+const faultMillis = 1800
 
-// leastWhole is how many whole answers show that the load goes on.
-const leastWhole = 50
+// minCompleteChats is the number of complete responses that shows that the load continues.
+const minCompleteChats = 50
 
-func TestPromisesHoldUnderFaults(t *testing.T) {
+func TestGuaranteesUnderFaults(t *testing.T) {
 	limit := make(chan struct{}, 3)
-	for i, s := range schedules {
+	for i, s := range faultCases {
 		t.Run(strings.ReplaceAll(s.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
 			limit <- struct{}{}
@@ -334,24 +334,24 @@
 			for k := range uint64(8) {
 				w.wg.Go(func() { w.chat(uint64(i)*100 + k) })
 			}
-			// Witnesses that have just started cannot vouch for older keys.
+			// Witnesses that have just started cannot confirm older keys.
 			wait(5200)
 			for k := range uint64(4) {
 				w.wg.Go(func() { w.call(uint64(i)*100 + k) })
 			}
 			wait(500)
 			s.fault(f)
-			wait(faultTime)
-			s.mend(f)
-			wait(faultTime)
-			// How fast the load goes on is the machine's matter.
-			f.Eventually("whole answers", func() bool { return w.wholeSoFar() >= leastWhole })
+			wait(faultMillis)
+			s.repair(f)
+			wait(faultMillis)
+			// The rate depends on the machine.
+			f.Eventually("complete responses", func() bool { return w.completeChats() >= minCompleteChats })
 			w.stop.Store(true)
 			w.wg.Wait()
-			w.recovered()
-			w.judge()
-			if w.whole < leastWhole {
-				t.Errorf("got %d whole answers, want the load to go on", w.whole)
+			w.waitRecovered()
+			w.check()
+			if w.complete < minCompleteChats {
+				t.Errorf("got %d complete responses, want the load to continue", w.complete)
 			}
 			http.DefaultClient.CloseIdleConnections()
 		})
--- a/integration/leave_test.go
+++ b/integration/leave_test.go
@@ -13,8 +13,8 @@
 	"github.com/weldfall/weldfall/internal/fleettest"
 )
 
-// underLoad runs chats through the given entries until f returns, and then
-// reports every answer that is not whole.
+// underLoad runs chats through the given entries until do returns, and then checks the
+// responses.
 func underLoad(t *testing.T, f *fleettest.Fleet, entries []*fleettest.Process, do func()) *workload {
 	t.Helper()
 	w := newWorkload(t, &fleettest.Fleet{})
@@ -29,28 +29,28 @@
 	w.stop.Store(true)
 	w.wg.Wait()
 	w.f = f
-	w.judge()
+	w.check()
 	return w
 }
 
-func wantAllWhole(t *testing.T, w *workload) {
+func wantAllComplete(t *testing.T, w *workload) {
 	t.Helper()
 	for _, c := range w.chats {
-		if !c.answer.whole {
-			t.Errorf("got status %d %s %s %v, want a whole answer", c.answer.status, c.answer.verdict, c.answer.reason, c.answer.err)
+		if !c.response.complete {
+			t.Errorf("got status %d %s %s %v, want a complete response", c.response.status, c.response.verdict, c.response.reason, c.response.err)
 		}
 	}
 	if len(w.chats) < 30 {
-		t.Errorf("got %d chats, want the load to go on", len(w.chats))
+		t.Errorf("got %d chats, want the load to continue", len(w.chats))
 	}
 }
 
-var leaveSpec = fleettest.Spec{Engines: 3, Entries: 2, EngineArgs: []string{"--gap-ms", "10", "--lag-ms", "500"}}
+var drainSpec = fleettest.Spec{Engines: 3, Entries: 2, EngineArgs: []string{"--gap-ms", "10", "--lag-ms", "500"}}
 
-func TestAPlannedStopOfADaemonCutsOffNothing(t *testing.T) {
-	f := fleettest.Start(t, leaveSpec)
+func TestPlannedStopOfDaemonBreaksNoResponse(t *testing.T) {
+	f := fleettest.Start(t, drainSpec)
 	var wg sync.WaitGroup
-	long := make([]answer, 9)
+	long := make([]response, 9)
 	w := underLoad(t, f, f.Entries, func() {
 		for i := range long {
 			wg.Go(func() { long[i] = chat(f.Entries[i%2], chatBody(true, 150, "long", "", string(rune('a'+i)))).send() })
@@ -60,10 +60,10 @@
 		<-f.EngineDaemons[0].Done()
 		wg.Wait()
 	})
-	wantAllWhole(t, w)
+	wantAllComplete(t, w)
 	for i, a := range long {
-		if !a.whole {
-			t.Errorf("long answer %d: got status %d %s %s, want it whole", i, a.status, a.verdict, a.reason)
+		if !a.complete {
+			t.Errorf("long response %d: got status %d %s %s, want it complete", i, a.status, a.verdict, a.reason)
 		}
 	}
 	if log := f.EngineDaemons[0].Log(); !strings.Contains(log, "msg=drained") || !strings.Contains(log, "cut_off=0") {
@@ -71,30 +71,30 @@
 	}
 }
 
-func TestAPlannedStopOfAnEntryCutsOffNothing(t *testing.T) {
-	f := fleettest.Start(t, leaveSpec)
+func TestPlannedStopOfEntryBreaksNoResponse(t *testing.T) {
+	f := fleettest.Start(t, drainSpec)
 	e := f.Entries[1]
 	var wg sync.WaitGroup
-	answers := make([]answer, 8)
-	for i := range answers {
-		wg.Go(func() { answers[i] = chat(e, chatBody(true, 120, "long")).send() })
+	responses := make([]response, 8)
+	for i := range responses {
+		wg.Go(func() { responses[i] = chat(e, chatBody(true, 120, "long")).send() })
 	}
 	wait(400)
 	e.Terminate()
 	f.Eventually("not ready first", func() bool { return e.Exited() || !e.Ready() })
 	wg.Wait()
-	for i, a := range answers {
-		if !a.whole {
-			t.Errorf("answer %d: got status %d %s, want it whole", i, a.status, a.reason)
+	for i, a := range responses {
+		if !a.complete {
+			t.Errorf("response %d: got status %d %s, want it complete", i, a.status, a.reason)
 		}
 	}
 	<-e.Done()
 }
 
-func TestALeavingEngineGetsNoNewWorkThoughTheListLags(t *testing.T) {
-	f := fleettest.Start(t, leaveSpec)
-	// The list says live all the time, and the entries cannot hear the
-	// daemon's own word.
+func TestDrainingEngineGetsNoNewWorkWithStaleList(t *testing.T) {
+	f := fleettest.Start(t, drainSpec)
+	// The list shows the daemon as live all the time, and the entries cannot receive the
+	// daemon's own status.
 	f.SetPlatformMode("down")
 	leaving := f.EngineDaemons[0]
 	f.Net.Cut(leaving.Name, "entry-0")
@@ -104,25 +104,25 @@
 	before := len(f.StartedRuns(f.Engines[0]))
 	f.Net.Heal()
 	w := underLoad(t, f, f.Entries, func() { wait(500) })
-	wantAllWhole(t, w)
+	wantAllComplete(t, w)
 	if got := len(f.StartedRuns(f.Engines[0])); got != before {
-		t.Errorf("got %d new runs on the leaving engine, want none", got-before)
+		t.Errorf("got %d new runs on the draining engine, want none", got-before)
 	}
 }
 
-func TestAnEngineThatTheListCallsLeavingGetsNoNewWork(t *testing.T) {
-	f := fleettest.Start(t, leaveSpec)
+func TestEngineListedAsLeavingGetsNoNewWork(t *testing.T) {
+	f := fleettest.Start(t, drainSpec)
 	f.ListInstance(f.EngineDaemons[0], member.Leaving)
 	f.Eventually("leaving", func() bool { return strings.Contains(f.EngineDaemons[0].Log(), "msg=leaving") })
 	before := len(f.StartedRuns(f.Engines[0]))
 	w := underLoad(t, f, f.Entries, func() { wait(300) })
-	wantAllWhole(t, w)
+	wantAllComplete(t, w)
 	if got := len(f.StartedRuns(f.Engines[0])); got != before {
-		t.Errorf("got %d new runs on the leaving engine, want none", got-before)
+		t.Errorf("got %d new runs on the draining engine, want none", got-before)
 	}
 }
 
-func TestALeavingEngineHandsItsCacheToWhereItsChatsGo(t *testing.T) {
+func TestDrainingEngineTransfersItsCache(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 3, Entries: 1, EngineArgs: []string{"--gap-ms", "1", "--lag-ms", "100"}})
 	turns := map[string][]string{}
 	for i := range 30 {
@@ -137,29 +137,29 @@
 	f.EngineDaemons[0].Terminate()
 	<-f.EngineDaemons[0].Done()
 	f.UnlistInstance(f.EngineDaemons[0])
-	cold := 0
+	uncached := 0
 	for _, ts := range turns {
 		a := chat(f.Entries[0], chatBody(false, 5, ts...)).send()
-		if !a.whole || strings.Contains(a.body, `"cached_tokens":0}`) {
-			cold++
+		if !a.complete || strings.Contains(a.body, `"cached_tokens":0}`) {
+			uncached++
 		}
 	}
-	if cold > 0 {
-		t.Errorf("got %d of %d returning chats cold after %d were on the engine that left, want none", cold, len(turns), had)
+	if uncached > 0 {
+		t.Errorf("got %d of %d returning chats not cached after %d ran on the drained engine, want none", uncached, len(turns), had)
 	}
 }
 
-// A caller whose next request has begun to arrive when its entry is stopped gets its
-// answer: nothing told the caller that the connection would end.
-func TestARequestThatIsArrivingAtAStopIsAnswered(t *testing.T) {
-	f := fleettest.Start(t, leaveSpec)
+// A request that has begun to arrive when its entry is stopped must be served: nothing
+// announced the end of the connection to the caller.
+func TestRequestArrivingAtStopIsServed(t *testing.T) {
+	f := fleettest.Start(t, drainSpec)
 	e := f.Entries[1]
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	// It keeps the entry from ending.
+	// The stream keeps the entry running.
 	wg.Go(func() {
-		if a := chat(e, chatBody(true, 150, "long")).send(); !a.whole {
-			t.Errorf("got status %d %s, want the stream whole", a.status, a.reason)
+		if a := chat(e, chatBody(true, 150, "long")).send(); !a.complete {
+			t.Errorf("got status %d %s, want a complete stream", a.status, a.reason)
 		}
 	})
 	nc, err := net.Dial("tcp", e.CallerAddr)
@@ -175,21 +175,21 @@
 			t.Fatalf("write: %v", err)
 		}
 	}
-	answer := func(what string) {
+	response := func(what string) {
 		t.Helper()
 		res, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Fatalf("got %v for %s, want an answer", err, what)
+			t.Fatalf("got %v for %s, want a response", err, what)
 		}
 		_, _ = io.Copy(io.Discard, res.Body)
 	}
 	ask(request)
-	answer("a request before the stop")
+	response("a request before the stop")
 	ask(request[:20])
 	wait(100)
 	e.Terminate()
 	f.Eventually("not ready first", func() bool { return e.Exited() || !e.Ready() })
 	wait(100)
 	ask(request[20:])
-	answer("a request that was arriving at the stop")
+	response("a request that was arriving at the stop")
 }
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -14,15 +14,15 @@
 
 func TestMain(m *testing.M) { fleettest.Main(m) }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	status  int
 	header  http.Header
 	body    string
 	content string
-	// whole is true for a stream that ended with its end mark, or a plain
-	// answer that arrived whole.
-	whole bool
+	// complete is true for a stream that ended with its end marker, or for a complete
+	// response that is no stream.
+	complete bool
 	// verdict and reason are those of an error, "" otherwise.
 	verdict, reason string
 	err             error
@@ -53,10 +53,10 @@
 	return fmt.Sprintf(`{"model":"draft-1","stream":%t,"max_tokens":%d,"messages":[%s]}`, stream, tokens, strings.Join(messages, ","))
 }
 
-func (q request) send() answer {
+func (q request) send() response {
 	req, err := http.NewRequest(http.MethodPost, "http://"+q.entry.CallerAddr+q.path, strings.NewReader(q.body))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+q.key)
 	for k, v := range q.headers {
@@ -64,11 +64,11 @@
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(res.Body)
-	a := answer{status: res.StatusCode, header: res.Header, body: string(body), err: err}
+	a := response{status: res.StatusCode, header: res.Header, body: string(body), err: err}
 	a.read(strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream"))
 	return a
 }
@@ -84,28 +84,28 @@
 	} `json:"error"`
 }
 
-func (a *answer) read(stream bool) {
+func (a *response) read(stream bool) {
 	if !stream {
 		var c chunk
 		if json.Unmarshal([]byte(a.body), &c) == nil {
-			a.take(c)
+			a.addChunk(c)
 		}
-		a.whole = a.err == nil && a.status == http.StatusOK
+		a.complete = a.err == nil && a.status == http.StatusOK
 		return
 	}
 	for line := range strings.SplitSeq(a.body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if data == "[DONE]" {
-			a.whole = a.err == nil
+			a.complete = a.err == nil
 		}
 		var c chunk
 		if ok && json.Unmarshal([]byte(data), &c) == nil {
-			a.take(c)
+			a.addChunk(c)
 		}
 	}
 }
 
-func (a *answer) take(c chunk) {
+func (a *response) addChunk(c chunk) {
 	for _, ch := range c.Choices {
 		a.content += ch.Delta.Content + ch.Message.Content
 	}
@@ -114,13 +114,13 @@
 	}
 }
 
-func TestOneRequestEndToEndThroughSeparateProcesses(t *testing.T) {
+func TestRequestThroughSeparateProcesses(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 2, Services: 1, Entries: 1, EngineArgs: []string{"--gap-ms", "1"}})
 	for _, stream := range []bool{false, true} {
 		body := chatBody(stream, 20, "hello")
 		a := chat(f.Entries[0], body).send()
-		if got, want := a.content, engine.Content([]byte(body), 20); got != want || !a.whole {
-			t.Errorf("stream %t: got %q whole %t, want %q whole", stream, got, a.whole, want)
+		if got, want := a.content, engine.Content([]byte(body), 20); got != want || !a.complete {
+			t.Errorf("stream %t: got %q, complete %t, want %q, complete", stream, got, a.complete, want)
 		}
 		if a.header.Get("X-Request-Id") == "" {
 			t.Errorf("stream %t: got no request id", stream)
@@ -145,9 +145,9 @@
 	}
 }
 
-// What a plain service gets is what callers ask: a daemon's questions about memory and
-// load are for engines that keep chats, and a service would run them as requests.
-func TestAPlainServiceGetsOnlyWhatCallersAsk(t *testing.T) {
+// A plain service must get only the requests of callers: a daemon's polls for cache and
+// load are for chat engines, and a service would run them as requests.
+func TestPlainServiceGetsOnlyCallerRequests(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{Engines: 1, Services: 1, Entries: 1})
 	ask := func() {
 		t.Helper()
@@ -157,10 +157,10 @@
 		}
 	}
 	ask()
-	// Longer than a daemon waits between two questions.
+	// This is longer than a daemon's poll period.
 	wait(2500)
 	ask()
 	if runs := f.StartedRuns(f.Services[0]); len(runs) != 2 {
-		t.Errorf("got %d requests at the service, want the 2 of callers: %+v", len(runs), runs)
+		t.Errorf("got %d requests at the service, want only the 2 of callers: %+v", len(runs), runs)
 	}
 }
--- a/integration/surge_test.go
+++ b/integration/surge_test.go
@@ -11,10 +11,10 @@
 	"github.com/weldfall/weldfall/internal/fleettest"
 )
 
-// TestASurgeIsShedAtOnceAndTheOtherPartnerIsServed floods two small engines
-// with one partner's chats. Every request gets an answer, the other partner's
-// are all whole, and what was shed did not run.
-func TestASurgeIsShedAtOnceAndTheOtherPartnerIsServed(t *testing.T) {
+// TestSurgeIsShedAndOtherPartnerIsServed floods two small engines with the chats of one
+// partner. Every request must get a response, the other partner's responses must be
+// complete, and shed requests must not have run.
+func TestSurgeIsShedAndOtherPartnerIsServed(t *testing.T) {
 	f := fleettest.Start(t, fleettest.Spec{
 		Engines: 2, Entries: 2, Fleet: "[limits]\nqueue_per_engine = 8\n",
 		EngineArgs: []string{"--gap-ms", "4", "--slots", "5", "--lag-ms", "500"},
@@ -24,21 +24,21 @@
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var shed, whole int
-	var others []answer
+	var shed, complete int
+	var others []response
 	for range 60 {
 		wg.Go(func() {
 			for n := 0; !stop.Load(); n++ {
 				a := chat(f.Entries[n%2], chatBody(true, 50, "surge")).send()
 				mu.Lock()
-				if a.whole {
-					whole++
+				if a.complete {
+					complete++
 				} else {
 					shed++
 					others = append(others, a)
 				}
 				mu.Unlock()
-				if !a.whole {
+				if !a.complete {
 					wait(20)
 				}
 			}
@@ -51,8 +51,8 @@
 		q := chat(f.Entries[n%2], chatBody(true, 50, "calm"))
 		q.key = fleettest.Key("vigia", "ws0")
 		start := clk.Micros()
-		if a := q.send(); !a.whole {
-			t.Errorf("other partner: got %d %s, want a whole answer", a.status, a.reason)
+		if a := q.send(); !a.complete {
+			t.Errorf("other partner: got %d %s, want a complete response", a.status, a.reason)
 		}
 		took = append(took, clk.Micros()-start)
 	}
@@ -65,13 +65,13 @@
 		}
 	}
 	for _, a := range others {
-		if a.status != http.StatusTooManyRequests || a.verdict != "not_run" || a.header.Get("Retry-After") == "" || ran[requestOf(a)] {
-			t.Errorf("got %d %s %s, ran %t, want 429, not_run and when to come back", a.status, a.verdict, a.reason, ran[requestOf(a)])
+		if a.status != http.StatusTooManyRequests || a.verdict != "not_run" || a.header.Get("Retry-After") == "" || ran[requestID(a)] {
+			t.Errorf("got %d %s %s, ran %t, want 429, not_run and Retry-After", a.status, a.verdict, a.reason, ran[requestID(a)])
 		}
 	}
-	if shed == 0 || whole == 0 {
-		t.Errorf("got %d shed and %d whole, want both", shed, whole)
+	if shed == 0 || complete == 0 {
+		t.Errorf("got %d shed and %d complete, want both", shed, complete)
 	}
 	slices.Sort(took)
-	t.Logf("%d whole and %d shed of the surge; the other partner's median %d us", whole, shed, took[len(took)/2])
+	t.Logf("%d complete and %d shed of the surge; the other partner's median %d us", complete, shed, took[len(took)/2])
 }
