--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -35,7 +35,7 @@
 	Slots int    `json:"slots"`
 }
 
-// Instance is one process of the system in the platform's list.
+// Instance is one process of the fleet in the platform's list.
 type Instance struct {
 	ID   string `json:"id"`
 	Role Role   `json:"role"`
@@ -178,7 +178,7 @@
 	k.failures++
 }
 
-// MarkReached records that the instance answered this process.
+// MarkReached records that the instance responded to this process.
 func (v *View) MarkReached(id string) {
 	if k, ok := v.byID[id]; ok {
 		k.failures, k.retryAt = 0, 0
--- a/fleet/once/claim.go
+++ b/fleet/once/claim.go
@@ -101,7 +101,7 @@
 func (Taken) outcome()    {}
 func (Unknown) outcome()  {}
 
-// Tally counts the answers to one claim. It is not safe for concurrent use.
+// Tally counts the responses to one claim. It is not safe for concurrent use.
 type Tally struct {
 	witnesses   int
 	gone        int
@@ -117,7 +117,7 @@
 // within the window.
 func NewTally(witnesses, gone int) *Tally { return &Tally{witnesses: witnesses, gone: gone} }
 
-// AddGrant counts the answer of one witness. A witness that does not answer is not
+// AddGrant counts the response of one witness. A witness that does not respond is not
 // counted.
 func (t *Tally) AddGrant(g wire.Grant) {
 	switch {
@@ -133,7 +133,7 @@
 	}
 }
 
-// Outcome returns what the answers so far prove.
+// Outcome returns what the responses so far prove.
 func (t *Tally) Outcome() Outcome {
 	need := Quorum(t.witnesses)
 	changed := t.gone + t.startedLate
--- a/fleet/source/client.go
+++ b/fleet/source/client.go
@@ -58,7 +58,7 @@
 
 const (
 	// hedgeAfter is how long after the wait of a call without a response a second call is
-	// made on a new connection. The service answers in milliseconds; the first call is
+	// made on a new connection. The service responds in milliseconds. The first call is
 	// still waited for, in case the service is slow.
 	hedgeAfter clock.Millis = 500
 	// hedgePeriod is the time between further hedged calls.
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -37,12 +37,12 @@
 // Store holds the topics of one process. It is not safe for concurrent use.
 type Store struct {
 	topics map[wire.Topic]*topicState
-	// answeredAt is when the platform last answered any process, as far as known. It is
+	// answeredAt is when the platform last responded to any process, as far as known. It is
 	// set only if answered is true.
 	answeredAt clock.Millis
 	answered   bool
-	// chunkBytes limits the items in one answer, so that a process without data catches
-	// up within its share of the control traffic.
+	// chunkBytes limits the items in one response, so that a process without data stays
+	// within its share of the control traffic while it catches up.
 	chunkBytes int
 }
 
@@ -173,17 +173,17 @@
 	}
 }
 
-// RecordPlatformAnswer records that the platform answered some process age ago.
+// RecordPlatformAnswer records that the platform responded to some process age ago.
 func (s *Store) RecordPlatformAnswer(age, now clock.Millis) {
 	if at := now - age; !s.answered || at > s.answeredAt {
 		s.answeredAt, s.answered = at, true
 	}
 }
 
-// neverAnswered is the age of the platform's latest answer if none is known.
+// neverAnswered is the age of the platform's latest response if none is known.
 const neverAnswered clock.Millis = 1 << 40
 
-// PlatformAge returns the time since the platform last answered any process.
+// PlatformAge returns the time since the platform last responded to any process.
 func (s *Store) PlatformAge(now clock.Millis) clock.Millis {
 	if !s.answered {
 		return neverAnswered
@@ -236,8 +236,9 @@
 	return out
 }
 
-// Answer answers an exchange with the items that the peer lacks, in the order of Topics,
-// and the revisions that this process has.
+// Answer returns the response to an exchange: the items that the peer lacks, in the order of
+// Topics, and the revisions that this process has. The items
+// of the topics are limited to about chunkBytes.
 func (s *Store) Answer(e wire.Exchange, now clock.Millis) wire.Exchanged {
 	s.RecordPlatformAnswer(e.PlatformAge, now)
 	out := wire.Exchanged{Revs: s.Revs(), PlatformAge: s.PlatformAge(now), Upto: map[wire.Topic]int64{}}
@@ -271,7 +272,7 @@
 	return wire.Item{}, false
 }
 
-// ApplyAnswer applies the answer to an exchange and returns the items that were new.
+// ApplyAnswer applies the response to an exchange and returns the items that were new.
 func (s *Store) ApplyAnswer(e wire.Exchanged, now clock.Millis) []wire.Item {
 	s.RecordPlatformAnswer(e.PlatformAge, now)
 	newItems := s.Add(e.Items)
