--- a/engines/upstream/unresponsive_test.go
+++ b/engines/upstream/unresponsive_test.go
@@ -13,8 +13,8 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// probe is the request that checks whether an engine is unresponsive.
-var probe = &upstream.Request{Method: http.MethodGet, URI: "/healthz", Host: "h", Header: http.Header{}}
+// healthCheck is the request that checks whether an engine is unresponsive.
+var healthCheck = &upstream.Request{Method: http.MethodGet, URI: "/healthz", Host: "h", Header: http.Header{}}
 
 // An engine is unresponsive if it sends nothing though its machine accepts connections.
 func TestUnresponsive(t *testing.T) {
@@ -48,27 +48,27 @@
 			clk := clock.System()
 			r := newRigOn(t, clk)
 			tc.before(t, r)
-			if got := r.pool.Unresponsive(context.Background(), r.engine.Addr(), probe, clk.Now()-tc.since, soon); got != tc.want {
+			if got := r.pool.Unresponsive(context.Background(), r.engine.Addr(), healthCheck, clk.Now()-tc.since, soon); got != tc.want {
 				t.Errorf("got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// An engine that is known to work is not probed.
+// An engine that is known to work gets no health check.
 func TestActiveEngineIsNotProbed(t *testing.T) {
 	clk := clock.System()
 	r := newRigOn(t, clk)
 	r.keepDirect(t)
 	before := r.engine.Dials()
-	r.pool.Unresponsive(context.Background(), r.engine.Addr(), probe, clk.Now()-late, soon)
+	r.pool.Unresponsive(context.Background(), r.engine.Addr(), healthCheck, clk.Now()-late, soon)
 	if got := r.engine.Dials() - before; got != 0 {
-		t.Errorf("got %d connections to probe an active engine, want none", got)
+		t.Errorf("got %d connections to check an active engine, want none", got)
 	}
 }
 
-// An engine is not reported as unresponsive if it accepts no connection, or if the probe
-// is canceled.
+// An engine is not reported as unresponsive if it accepts no connection, or if the health
+// check is canceled.
 func TestUnreachableEngineIsNotUnresponsive(t *testing.T) {
 	r := newRig(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +77,7 @@
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
-	if r.pool.Unresponsive(context.Background(), addr, probe, 0, soon) {
+	if r.pool.Unresponsive(context.Background(), addr, healthCheck, 0, soon) {
 		t.Error("got unresponsive for an address that refuses connections, want false")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -85,8 +85,8 @@
 		cancel()
 		return standin.Reply{Wait: late.Duration()}
 	})
-	if r.pool.Unresponsive(ctx, r.engine.Addr(), probe, 0, late) {
-		t.Error("got unresponsive after the probe was canceled, want false")
+	if r.pool.Unresponsive(ctx, r.engine.Addr(), healthCheck, 0, late) {
+		t.Error("got unresponsive after the health check was canceled, want false")
 	}
 }
 
--- a/fleet/spread/spread.go
+++ b/fleet/spread/spread.go
@@ -237,8 +237,7 @@
 }
 
 // Answer returns the response to an exchange: the items that the peer lacks, in the order of
-// Topics, and the revisions that this process has. The items
-// of the topics are limited to about chunkBytes.
+// Topics and limited to about chunkBytes, and the revisions that this process has.
 func (s *Store) Answer(e wire.Exchange, now clock.Millis) wire.Exchanged {
 	s.RecordPlatformAnswer(e.PlatformAge, now)
 	out := wire.Exchanged{Revs: s.Revs(), PlatformAge: s.PlatformAge(now), Upto: map[wire.Topic]int64{}}
--- a/fleet/spread/spread_test.go
+++ b/fleet/spread/spread_test.go
@@ -290,7 +290,7 @@
 	}
 }
 
-// TestCatchingUpStaysWithinTheBudget bounds the bytes of each answer while a process
+// TestCatchingUpStaysWithinTheBudget bounds the bytes of each response while a process
 // without data catches up with a large list.
 func TestCatchingUpStaysWithinTheBudget(t *testing.T) {
 	s := newCluster(2)
--- a/gate/enginelist_test.go
+++ b/gate/enginelist_test.go
@@ -93,7 +93,8 @@
 }
 
 // A peer that keeps reporting other lists makes an entry read the store no more often than
-// an entry without reports does. A list that is never found is asked for once.
+// an entry without reports does. One false list causes one read more, however often it is
+// reported.
 func TestFalseListReportsCauseFewReads(t *testing.T) {
 	const period = 60 * time.Second
 	countReads := func(falseSum func() uint32) int {
@@ -244,7 +245,7 @@
 	})
 }
 
-// If the store does not answer, entries ask it less often the more of them there are.
+// If the store does not respond, entries ask it less often the more of them there are.
 // Entries that cannot serve yet and small fleets ask as often as usual.
 func TestStoreContention(t *testing.T) {
 	status := func(age clock.Millis) *peers.Status { return &peers.Status{Table: 5, TableAge: age, Epoch: 1} }
@@ -290,7 +291,8 @@
 	}
 }
 
-// If the list is due before a report can arrive, each entry reads it itself.
+// If a confirmation of the list is due before a report can arrive, each entry reads the list
+// itself.
 func TestListIsSharedIfReportsArriveInTime(t *testing.T) {
 	for entries, shared := range map[int]map[clock.Millis]bool{
 		manyEntries: {0: false, 1000: false, 2000: false, drainingBound: true, 10_000: true},
--- a/gate/unresponsive.go
+++ b/gate/unresponsive.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// healthCheckTimeout is how long an engine with a free slot may take to answer a health
+	// healthCheckTimeout is how long an engine with a free slot may take to respond to a health
 	// check.
 	healthCheckTimeout clock.Millis = 100
 	// healthCheckGoalPart is the fraction of its goal that an attempt waits at least for a
