--- a/measure/soak/again.go
+++ b/measure/soak/again.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// foreign publishes an engine with an invalid entry, which no one may use, and replaces the
-// entry of another engine by such an entry for a while.
+// publishForeign publishes an engine with an invalid entry, which no one may use, and
+// replaces the entry of another engine by such an entry for a while.
 func (w *deployment) publishForeign(i int, s Step) {
 	decoy, err := standin.NewEngine(fmt.Sprintf("i-decoy-%d-%d", s.Start, s.Index), w.behave(""))
 	if err != nil {
@@ -176,7 +176,7 @@
 	return "ready"
 }
 
-// damage writes an invalid entry, as a foreign writer would.
+// publishInvalid writes an invalid entry, as a foreign writer would.
 func (w *deployment) publishInvalid(id string, entry map[string]any, variant string) {
 	key := "servers/" + id
 	switch variant {
--- a/measure/soak/ending.go
+++ b/measure/soak/ending.go
@@ -35,7 +35,7 @@
 // which would accept connections while the engine is away.
 var endingKinds = []Kind{Kill, Kill, Pause, Stop, Stop, Reload, StoreFault, Compact, StoreLink, EngineFault, EngineFault, DrainEngine, AddEngine, PublishConfig, Series, SilentStoreConns}
 
-// endingPaths has routes of all kinds.
+// crashingPaths has routes of all kinds.
 var crashingPaths = []string{"/safe/", "/chat/", "/unsafe/", "/resume/"}
 
 // callCrashing sends a request that crashes engines again and again.
--- a/measure/soak/grow.go
+++ b/measure/soak/grow.go
@@ -56,7 +56,7 @@
 	return steps
 }
 
-// grow publishes a version with additional routes.
+// growConfig publishes a version with additional routes.
 func (w *deployment) growConfig(by int) {
 	w.mu.Lock()
 	w.idle = min(maxIdleRoutes, w.idle+by)
@@ -64,7 +64,7 @@
 	w.publishConfig()
 }
 
-// publish records the publication of a version.
+// addVersion records the publication of a version.
 func (r *record) addVersion(version int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/measure/soak/judge_end.go
+++ b/measure/soak/judge_end.go
@@ -60,7 +60,7 @@
 	return slices.ContainsFunc(runs, func(run *standin.Run) bool { return run.Framed == f })
 }
 
-// killed reports whether the gate of a request was killed while it served the request.
+// gateKilled reports whether the gate of a request was killed while it served the request.
 func (r *record) gateKilled(a request) bool {
 	return slices.ContainsFunc(slices.Concat(r.disturbances, r.lateKills), func(t disturbance) bool {
 		return t.kind == Kill && (t.gate == everyGate || t.gate == a.gate) && t.from.Before(a.ended) && t.until.After(a.sent)
--- a/measure/soak/play.go
+++ b/measure/soak/play.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// leave publishes an engine as draining, unless it is one of the first engines, which keep
-// the services available.
+// drainEngine publishes an engine as draining, unless it is one of the first engines, which
+// keep the services available.
 func (w *deployment) drainEngine(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/measure/soak/schedule.go
+++ b/measure/soak/schedule.go
@@ -215,8 +215,8 @@
 		steps = append(steps, roll)
 	}
 	if play == Restarting {
-		// This comes after the last restart of a gate, so that the gates which received the
-		// draining of all engines run until the end.
+		// This comes after the last restart of a gate, so that the gates, which know that
+		// all engines drained, run until the end.
 		steps = append(steps, Step{Start: length - lastRestartBeforeEnd, Kind: RestartEngines, Duration: shortestStep, Variant: drainsFirst, Count: maxIndex})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.Start - b.Start) })
--- a/measure/soak/soak.go
+++ b/measure/soak/soak.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// join starts an engine and publishes it.
+// addEngine starts an engine and publishes it.
 func (w *deployment) addEngine(service string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// list publishes an engine's state. The caller holds mu.
+// publishEngine publishes an engine's state. The caller holds mu.
 func (w *deployment) publishEngine(i int, state string) {
 	addr := w.links[i].Addr()
 	if w.cfg.Play == Ending {
@@ -263,7 +263,7 @@
 	w.store.PutEngine(w.engines[i], w.services[i], state, addr)
 }
 
-// publish writes the next version of the config.
+// publishConfig writes the next version of the config.
 func (w *deployment) publishConfig() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
