--- a/fleet/member/member_test.go
+++ b/fleet/member/member_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-func TestAnInstanceLeavesByTheListOrItsOwnWord(t *testing.T) {
+func TestAnInstanceLeavesByTheListOrItsOwnReport(t *testing.T) {
 	v := member.NewView("me", 0)
 	for _, id := range []string{"a", "b", "c"} {
 		v.SetListed(instance(id), 1)
@@ -30,7 +30,7 @@
 	leaving.State = member.Leaving
 	v.SetListed(leaving, 2)
 	if !v.MarkLeaving("c") || v.MarkLeaving("c") {
-		t.Error("got wrong news of c leaving, want it once")
+		t.Error("got c marked as leaving not exactly once")
 	}
 	if got, want := ids(v.Candidates("drafting", 3)), "a "; got != want {
 		t.Errorf("got %q, want %q", got, want)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAFlappingInstanceIsHeldOffLongerEachTime(t *testing.T) {
+func TestAFlappingInstanceIsHeldLongerEachTime(t *testing.T) {
 	v := member.NewView("me", 0)
 	v.SetListed(instance("steady"), 0)
 	v.SetListed(instance("flap"), 0)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestUnreachableInstancesAreTriedAgainLaterAndWhenNoneIsLeft(t *testing.T) {
+func TestUnreachableInstancesAreRetriedLaterOrWhenNoneIsLeft(t *testing.T) {
 	v := member.NewView("me", 0)
 	v.SetListed(instance("a"), 0)
 	v.SetListed(instance("b"), 0)
@@ -80,18 +80,18 @@
 	}
 	v.MarkReached("a")
 	if !v.Usable("a", 103) {
-		t.Error("got a unusable after it was reached")
+		t.Error("got a not usable after it was reached")
 	}
 }
 
-func TestOnlyAProcessInContactWithMostTrustsItself(t *testing.T) {
+func TestMajorityReachableFollowsTheLatestExchanges(t *testing.T) {
 	v := member.NewView("me", 0)
 	if !v.MajorityReachable() {
 		t.Error("alone: got no majority")
 	}
 	v.SetListed(instance("a"), 0)
 	if v.MajorityReachable() {
-		t.Error("before any contact: got a majority")
+		t.Error("before any exchange: got a majority")
 	}
 	for range 16 {
 		v.RecordExchange(true)
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestAYoungViewCountsEveryLossAsRecent(t *testing.T) {
+func TestAViewYoungerThanTheWindowCountsAllGone(t *testing.T) {
 	v := member.NewView("me", 1000)
 	v.SetListed(instance("a"), 1000)
 	v.SetUnlisted("a", 1100)
@@ -125,9 +125,9 @@
 	}
 }
 
-func TestAnInstanceCostsLittle(t *testing.T) {
+func TestMemoryPerInstance(t *testing.T) {
 	const n = 3300
-	used := heaptest.BytesEach(n, func() *member.View {
+	used := heaptest.BytesPerItem(n, func() *member.View {
 		v := member.NewView("me", 0)
 		for i := range n {
 			in := instance(fmt.Sprint("daemon-", i))
--- a/fleet/once/bench_test.go
+++ b/fleet/once/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// fillWitness makes a witness remember n keys and returns its bytes a key.
+// fillWitness fills a witness with n keys and returns the bytes that it needs for each.
 func fillWitness(n int) float64 {
-	return heaptest.BytesEach(n, func() *once.Witness {
+	return heaptest.BytesPerItem(n, func() *once.Witness {
 		w := once.NewWitness(0, 1_000_000, n)
 		for i := range uint64(n) {
 			w.Claim(wire.Claim{Key: i + 1, Attempt: i + 1, Window: 600_000}, 700_000, 1_700_000)
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestAKeyCostsTheSameAtAnyDepth(t *testing.T) {
+func TestMemoryPerKey(t *testing.T) {
 	small, large := fillWitness(10_000), fillWitness(once.MaxKeys)
 	t.Logf("%.0f bytes a key at 10,000 and %.0f at %d", small, large, once.MaxKeys)
 	if large > 160 {
--- a/gate/place.go
+++ b/gate/place.go
@@ -11,132 +11,132 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// choose takes the engine for the next attempt and counts the request there. One that is
-// alone goes where the fewest others are.
-func (g *Gate) choose(c *call, alone bool) (pick, *verdict.Error) {
+// choose chooses the engine for the next attempt and counts the request there. An isolated
+// request goes to the least loaded engine.
+func (g *Gate) choose(c *call, isolated bool) (pick, *verdict.Error) {
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.knowsEvacuations(now) {
-		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's word of evacuations is %d ms old", g.published.Age(now)).WithRetryAfter(g.retryElsewhere(now))
+		return pick{}, verdict.New(c.verdict(), verdict.NotReady, "this entry's list of evacuations is %d ms old", g.tableFreshness.Age(now)).WithRetryAfter(g.retryElsewhere(now))
 	}
-	bound, slack := engines.PromptBound(g.bounds().LoadBound)
+	bound, slack := engines.AffinityBound(g.bounds().LoadBound)
 	service, _ := c.table.Service(c.service)
-	cost := engines.Cost{Read: g.readTime(c.service), Move: service.MoveTime}
-	ch, ok := g.book.Choose(engines.Query{
-		Service: c.service, Keys: c.keys, Tokens: c.tokens, Cost: cost, Bound: bound, Slack: slack,
-		Silence: silence(c.route), Cold: g.cold(c), Tried: c.tried, Alone: alone, Random: random(),
+	cost := engines.Cost{Prefill: g.prefillMillis(c.service), Transfer: service.TransferTimePerToken}
+	ch, ok := g.registry.Choose(engines.Query{
+		Service: c.service, Keys: c.prefixKeys, Tokens: c.prefixTokens, Cost: cost, Bound: bound, Slack: slack,
+		MaxSilence: maxSilence(c.route), Warmup: g.warmup(c), Tried: c.tried, Isolated: isolated, Random: random(),
 	}, now)
-	if !ok && alone {
-		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines ended while they ran this request, and no engine of %s can be spared to try it", c.service).WithRetryAfter(retrySoon)
+	if !ok && isolated {
+		return pick{}, verdict.New(c.verdict(), verdict.HeldBack, "engines crashed while they ran this request, and no engine of %s is free to run it in isolation", c.service).WithRetryAfter(retrySoon)
 	}
 	if !ok {
 		return pick{}, g.noEngine(c)
 	}
 	in := ch.Engine.Info()
-	ch.Engine.Start(now)
+	ch.Engine.BeginRequest(now)
 	c.sentAt = now
-	c.tried, c.alone = append(c.tried, in.ID), alone
-	c.how, c.kept, c.load, c.mean = ch.How, ch.Kept, ch.Load, ch.Mean
+	c.tried, c.isolated = append(c.tried, in.ID), isolated
+	c.chosenBy, c.sentBefore, c.engineLoad, c.meanLoad = ch.Basis, ch.PrefixSent, ch.Load, ch.Mean
 	p := pick{Info: in}
-	if service.Moves && ch.Source != nil {
+	if service.PrefixTransfer && ch.Source != nil {
 		p.source = ch.Source.Info().Addr
 	}
-	c.fetched, c.dearer, c.readTime = p.source != "", ch.Dearer, cost.Read
+	c.hasSource, c.fetchCostsMore, c.prefillMillis = p.source != "", ch.FetchTooCostly, cost.Prefill
 	return p, nil
 }
 
-// pick is the engine of an attempt.
+// pick is the engine chosen for an attempt.
 type pick struct {
 	engines.Info
-	// source is the address of an engine that may keep more of the prompt, ""
-	// if none is known.
+	// source is the address of an engine that may have a longer prefix of the prompt, "" if
+	// none is known.
 	source string
 }
 
-// silenceGoals is how many times its goal a request allows for the silence of the
-// engine that it goes to.
+// silenceGoals is the number of times its goal that a request tolerates as silence of its
+// engine.
 const silenceGoals = 2
 
-// silence is how long an engine may leave requests without a sign before a
-// request of a route goes elsewhere.
-func silence(r *table.Route) clock.Millis { return silenceGoals * r.GoalOrUsual() }
+// maxSilence returns how long an engine may leave requests without output before a request
+// of the route goes to another engine.
+func maxSilence(r *table.Route) clock.Millis { return silenceGoals * r.GoalOrDefault() }
 
-// heard records a sign of life, with the load that it told, if any.
-func (g *Gate) heard(n engines.Incarnation, load string) {
+// recordActivity records that an engine sent something, with its reported load, if any.
+func (g *Gate) recordActivity(n engines.Incarnation, load string) {
 	now := g.clk.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.book.Find(n)
+	e := g.registry.Find(n)
 	if e == nil {
 		return
 	}
-	e.Heard(now)
+	e.RecordActivity(now)
 	if l, ok := parseLoad(load); ok {
-		e.Told(l, now)
+		e.RecordLoad(l, now)
 	}
 }
 
-// finish counts the end of a request at an engine. What it tells is of the life that
-// the request was sent to.
+// finish records the end of a request at an engine. The outcome counts for the incarnation
+// that the request was sent to.
 func (g *Gate) finish(n engines.Incarnation, o engines.Outcome) {
 	now := g.clk.Now()
 	g.mu.Lock()
-	e := g.book.Find(n)
+	e := g.registry.Find(n)
 	if e == nil {
 		g.mu.Unlock()
 		return
 	}
-	trust := e.Finish(o, now)
+	trust := e.EndRequest(o, now)
 	g.mu.Unlock()
-	g.tellTrust(n, trust, string(o))
+	g.applyTrust(n, trust, string(o))
 }
 
-// tellTrust logs what changed in the trust in an engine, and has one sought that cannot
-// be reached.
-func (g *Gate) tellTrust(n engines.Incarnation, t engines.Trust, cause string) {
+// applyTrust logs a change of the trust in an engine and starts to reconnect to one that is
+// unreachable.
+func (g *Gate) applyTrust(n engines.Incarnation, t engines.TrustChange, cause string) {
 	g.logTrust(n.ID, t, cause)
 	if t == engines.Suspected {
-		g.guard.ConfirmCrash(n.Mark())
-		go g.seek(n)
+		g.guard.ConfirmCrash(n.Hash())
+		go g.reconnect(n)
 	}
 }
 
-func (g *Gate) logTrust(id string, t engines.Trust, cause string) {
-	if t != engines.Unchanged {
+func (g *Gate) logTrust(id string, t engines.TrustChange, cause string) {
+	if t != engines.TrustUnchanged {
 		g.log.Info("engine_trust", "engine", id, "trust", t, "cause", cause)
 	}
 }
 
-// seekPeriod is how often an engine is sought that could not be reached.
-const seekPeriod clock.Millis = 500
+// reconnectPeriod is how often a connection to an unreachable engine is tried.
+const reconnectPeriod clock.Millis = 500
 
-// seek opens connections to an engine that could not be reached until one comes
-// up or the list has lost it, so that no request is spent to find out: at a dark
-// engine each would wait for as long as a connection may take.
-func (g *Gate) seek(n engines.Incarnation) {
-	for !g.leave.over.Load() {
-		clock.Sleep(context.Background(), seekPeriod)
+// reconnect tries to connect to an unreachable engine until it succeeds or the engine is no
+// longer listed. So no request has to find out whether the engine is back: at an
+// unresponsive engine each would wait for the whole connection timeout.
+func (g *Gate) reconnect(n engines.Incarnation) {
+	for !g.shutdown.aborting.Load() {
+		clock.Sleep(context.Background(), reconnectPeriod)
 		g.mu.Lock()
-		e := g.book.Find(n)
+		e := g.registry.Find(n)
 		if e == nil {
 			g.mu.Unlock()
 			return
 		}
-		addr, sought := e.Info().Addr, e.TakesNew()
+		addr, accepts := e.Info().Addr, e.AcceptsRequests()
 		g.mu.Unlock()
-		if !sought || g.pool.Open(addr) != nil {
+		if !accepts || g.pool.Preconnect(addr) != nil {
 			continue
 		}
 		g.mu.Lock()
-		trust := e.Reached(g.clk.Now())
+		trust := e.MarkReached(g.clk.Now())
 		g.mu.Unlock()
 		g.logTrust(n.ID, trust, "connected")
 		return
 	}
 }
 
-// parseLoad reads "running,waiting,slots".
+// parseLoad parses "running,waiting,slots".
 func parseLoad(v string) (engines.Load, bool) {
 	running, rest, ok := strings.Cut(v, ",")
 	if !ok {
--- a/gate/relay.go
+++ b/gate/relay.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// drainLimit bounds what is read of an answer that nobody wants, in bytes.
-	drainLimit = 64 << 10
-	// resumeSilence is how long a resumable stream may at least pause before it
-	// is taken up elsewhere: under the two seconds after which callers abandon
-	// a stream.
-	resumeSilence clock.Millis = 1000
-	// resumePauses is how many of the longest pauses that are on time it may
-	// pause; callers abandon it after eight.
-	resumePauses = 2.5
+	// discardLimit is the maximum number of bytes that are read from a response that is
+	// discarded.
+	discardLimit = 64 << 10
+	// minStreamSilence is the minimum pause after which a resumable stream is continued at
+	// another engine: less than the two seconds after which callers abandon a stream.
+	minStreamSilence clock.Millis = 1000
+	// streamSilencePauses is the pause allowed to a resumable stream as a multiple of the
+	// route's pause goal. Callers abandon a stream after eight.
+	streamSilencePauses = 2.5
 )
 
-// drain reads the rest of an answer, so that its connection can be kept.
-func drain(a *upstream.Answer) {
-	// An answer that cannot be read to its end costs its connection.
-	_, _ = io.CopyN(io.Discard, a, drainLimit)
+// discardRest reads the rest of a response, so that its connection can be reused.
+func discardRest(a *upstream.Response) {
+	// If the rest cannot be read, the connection is closed.
+	_, _ = io.CopyN(io.Discard, a, discardLimit)
 }
 
-// relay passes the answer of an engine on to the caller.
-func (g *Gate) relay(ctx context.Context, c *call, e engines.Info, a *upstream.Answer) attempt.Outcome {
+// relay passes the response of an engine on to the caller.
+func (g *Gate) relay(ctx context.Context, c *call, e engines.Info, a *upstream.Response) attempt.Outcome {
 	x := exchange{g, c, e.Incarnation()}
 	o := c.reply.Relay(ctx, x, a.Response, a)
 	if a, ok := o.(attempt.Answered); ok && a.End == framing.Complete {
@@ -43,7 +43,7 @@
 	return o
 }
 
-// exchange is the exchange with an engine in which a call's answer comes.
+// exchange is a call's exchange with one incarnation of an engine.
 type exchange struct {
 	g    *Gate
 	c    *call
@@ -56,19 +56,19 @@
 func (x exchange) WantsStream() bool { return x.c.route.Kind == table.Stream }
 
 // TimeLeft implements relay.Exchange.
-func (x exchange) TimeLeft() clock.Millis { return x.c.left(x.g.clk.Now()) }
+func (x exchange) TimeLeft() clock.Millis { return x.c.timeLeft(x.g.clk.Now()) }
 
 // ReadTimeout implements relay.Exchange.
 func (x exchange) ReadTimeout() clock.Millis {
 	left := x.TimeLeft()
-	if r := x.c.route; r.Repeatable() && x.c.ran < r.Attempts {
-		return min(left, max(resumeSilence, clock.Millis(resumePauses*float64(r.PauseGoal))))
+	if r := x.c.route; r.Retryable() && x.c.ran < r.Attempts {
+		return min(left, max(minStreamSilence, clock.Millis(streamSilencePauses*float64(r.PauseGoal))))
 	}
 	return left
 }
 
 // OnRead implements relay.Exchange.
-func (x exchange) OnRead() { x.g.heard(x.with, "") }
+func (x exchange) OnRead() { x.g.recordActivity(x.with, "") }
 
 // OnUnbuffered implements relay.Exchange.
 func (x exchange) OnUnbuffered() { x.g.durations.RecordPassThrough(x.c.route.Name) }
@@ -79,45 +79,44 @@
 	x.g.learnPace(x.c, x.g.clk.Now())
 }
 
-// learnPace records when the first event came, and how long each run of events
-// took.
+// learnPace records the time to the first event and the duration of each run of events.
 func (g *Gate) learnPace(c *call, now clock.Millis) {
 	n := c.events
 	switch {
 	case n == 0:
 		return
-	case c.runFrom == 0:
+	case c.runStart == 0:
 		g.durations.RecordFirstEvent(c.route.Name, now-c.start)
-		g.learnReading(c, now)
-	case n-c.runFrom < duration.RunEvents:
+		g.learnPrefill(c, now)
+	case n-c.runStart < duration.RunEvents:
 		return
 	default:
-		g.durations.RecordRun(c.route.Name, c.expected.Service, duration.RunEvents*(now-c.runAt)/clock.Millis(n-c.runFrom))
+		g.durations.RecordRun(c.route.Name, c.expected.Service, duration.RunEvents*(now-c.runStartAt)/clock.Millis(n-c.runStart))
 	}
-	c.runFrom, c.runAt = n, now
+	c.runStart, c.runStartAt = n, now
 }
 
-// learnRest records how long the events took that came after the last run.
+// learnRest records the duration of the events after the last run.
 func (g *Gate) learnRest(c *call) {
-	if n := c.events - c.runFrom; c.runFrom > 0 && n > 0 {
-		g.durations.RecordTail(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runAt)
+	if n := c.events - c.runStart; c.runStart > 0 && n > 0 {
+		g.durations.RecordTail(c.route.Name, c.expected.Service, n, c.reply.LastAt()-c.runStartAt)
 	}
 }
 
-// replyTo returns the answer to a call, which has not begun.
+// replyTo returns the response to a call, which has not begun.
 func (g *Gate) replyTo(c *call) *relay.Reply {
 	return relay.New(relay.Config{W: c.w, R: c.r, Clock: g.clk, SetHeaders: func(to, from http.Header) {
 		if from != nil {
 			g.copyHead(to, from)
 		}
-		if g.leave.begun() {
+		if g.shutdown.started() {
 			to.Set("Connection", "close")
 		}
-		c.bound(g.clk.Now())
+		c.limitWrite(g.clk.Now())
 	}})
 }
 
-// copyHead sets the engine's headers on the answer.
+// copyHead copies the headers of the engine's response.
 func (g *Gate) copyHead(to, from http.Header) {
 	dropped := connectionNames(from)
 	for k, v := range from {
@@ -126,7 +125,7 @@
 		}
 	}
 	if _, ok := to["Content-Type"]; !ok {
-		// Without it the library would guess one.
+		// Without an entry net/http would detect a type from the body.
 		to["Content-Type"] = nil
 	}
 }
--- a/gate/request.go
+++ b/gate/request.go
@@ -10,26 +10,26 @@
 	"github.com/weldfall/weldfall/table"
 )
 
-// hopByHop are headers that concern one connection only, or that this process
-// writes itself.
+// hopByHop are the headers that concern a single connection or that this process writes
+// itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Host": true,
 }
 
-// request returns what the engine is sent.
+// request returns the request that is sent to the engine.
 func (g *Gate) request(c *call, e pick, now clock.Millis) *upstream.Request {
-	h := make(http.Header, len(c.r.Header)+headersAdded)
+	h := make(http.Header, len(c.r.Header)+addedHeaders)
 	dropped := connectionNames(c.r.Header)
 	for k, v := range c.r.Header {
 		if !hopByHop[k] && !g.reserved[k] && !dropped[k] {
 			h[k] = v
 		}
 	}
-	if c.table.Keyed() && !c.route.Public {
+	if c.table.RequiresKey() && !c.route.Public {
 		delete(h, "Authorization")
 	}
-	h.Set(g.wire.Deadline, strconv.FormatInt(int64(max(1, c.left(now))), 10))
+	h.Set(g.wire.Deadline, strconv.FormatInt(int64(max(1, c.timeLeft(now))), 10))
 	h.Set(g.wire.ExpectEngine, e.ID)
 	h.Set(g.wire.Priority, strconv.Itoa(priority(c)))
 	if c.workspace != nil {
@@ -44,35 +44,35 @@
 	return &upstream.Request{
 		ID: c.id, Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: h,
 		Body: c.body, HasBody: c.r.ContentLength > 0 || len(c.r.TransferEncoding) > 0,
-		Doubt: doubt(c.route),
+		SilenceTimeout: suspectAfter(c.route),
 	}
 }
 
-// doubt is how long a request waits for a sign of its engine before the engine's
-// connections are in doubt: until it, or a stream of its kind, would be taken
-// elsewhere if it might be repeated.
-func doubt(r *table.Route) clock.Millis {
+// suspectAfter returns how long a request waits for output of its engine before the
+// connections to the engine become suspect: the time after which the request, or a stream
+// of its kind, would move to another engine if it could be retried.
+func suspectAfter(r *table.Route) clock.Millis {
 	if r.Kind != table.Stream {
-		return silence(r)
+		return maxSilence(r)
 	}
-	return max(silence(r), resumeSilence, clock.Millis(resumePauses*float64(r.PauseGoal)))
+	return max(maxSilence(r), minStreamSilence, clock.Millis(streamSilencePauses*float64(r.PauseGoal)))
 }
 
-// headersAdded is how many headers this process adds.
-const headersAdded = 7
+// addedHeaders is the number of headers that this process adds.
+const addedHeaders = 7
 
-// leastUrgent is the largest rank that engines know.
-const leastUrgent = 9
+// lowestPriority is the largest priority value that engines accept.
+const lowestPriority = 9
 
 func priority(c *call) int {
 	p := c.route.Priority
 	if c.workspace != nil && c.workspace.Priority != nil {
 		p = *c.workspace.Priority
 	}
-	return min(leastUrgent, max(0, p))
+	return min(lowestPriority, max(0, p))
 }
 
-// connectionNames are the headers that Connection names.
+// connectionNames returns the headers that Connection names.
 func connectionNames(h http.Header) map[string]bool {
 	var names map[string]bool
 	for _, v := range h["Connection"] {
--- a/gate/respond.go
+++ b/gate/respond.go
@@ -8,18 +8,18 @@
 	"github.com/weldfall/weldfall/verdict"
 )
 
-// problem is the body of a failure.
-type problem struct {
+// failureBody is the body of a failure.
+type failureBody struct {
 	Request string          `json:"request"`
 	Verdict verdict.Verdict `json:"verdict"`
 	Reason  verdict.Reason  `json:"reason"`
 	Message string          `json:"message"`
 }
 
-// statuses are those of failures. 503 and 429 say that the request did not run; 502
-// and 504 say nothing of the kind.
-var statuses = failure.Statuses{
-	Always: map[verdict.Reason]int{
+// statuses maps failures to status codes. 503 and 429 promise that the request did not run;
+// 502 and 504 do not.
+var statuses = failure.StatusCodes{
+	ByReason: map[verdict.Reason]int{
 		verdict.BadRequest:     http.StatusBadRequest,
 		verdict.Unauthorized:   http.StatusUnauthorized,
 		verdict.NoRoute:        http.StatusNotFound,
@@ -27,50 +27,51 @@
 		verdict.TooLarge:       http.StatusRequestEntityTooLarge,
 	},
 	MayHaveRun: map[verdict.Reason]int{verdict.Deadline: http.StatusGatewayTimeout},
-	NotRun:     http.StatusServiceUnavailable, Otherwise: http.StatusBadGateway,
+	NotRun:     http.StatusServiceUnavailable, Default: http.StatusBadGateway,
 }
 
-// style returns how failures are told to callers that name requests by a header.
-func style(requestID string) failure.Style {
-	return failure.Style{
-		Statuses: statuses,
+// failureStyle returns how failures are formatted if requests are identified by the given
+// header.
+func failureStyle(requestID string) failure.Format {
+	return failure.Format{
+		StatusCodes: statuses,
 		Body: func(f failure.Failure) any {
-			return problem{Request: f.Request, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
+			return failureBody{Request: f.RequestID, Verdict: f.Err.Verdict(), Reason: f.Err.Reason(), Message: f.Err.Message()}
 		},
 		Header: func(h http.Header, f failure.Failure) {
-			if f.Request != "" {
-				h.Set(requestID, f.Request)
+			if f.RequestID != "" {
+				h.Set(requestID, f.RequestID)
 			}
 			if f.Err.RetryAfter() > 0 && f.Err.Verdict() == verdict.NotRun {
-				h.Set("Retry-After", seconds(f.Err.RetryAfter()))
+				h.Set("Retry-After", retryAfterValue(f.Err.RetryAfter()))
 			}
 		},
 	}
 }
 
-// respond writes a failure, or breaks off an answer that has begun.
+// respond writes a failure, or aborts a response that has begun.
 func (g *Gate) respond(c *call, err *verdict.Error) {
 	if c.reply.Started() || c.reply.Aborted() {
 		c.reply.MarkAborted()
 		return
 	}
 	h := c.w.Header()
-	status, body, perr := g.style.Prepare(h, failure.Failure{Request: c.id, Err: err})
+	status, body, perr := g.style.Prepare(h, failure.Failure{RequestID: c.id, Err: err})
 	if perr != nil {
 		g.log.Error("problem_not_encoded", "request", c.id, "error", perr)
 	}
-	g.boundRest(c)
+	g.limitBodyRead(c)
 	c.reply.WriteFailure(status, body)
 }
 
-// boundRest limits the time for the body of a request that is refused before it
-// was read: the library reads the rest of it before it answers, and a caller that
-// has fallen silent never sends it. The rest may take as long as a head.
-func (g *Gate) boundRest(c *call) {
-	if !c.hasBody() || c.reading {
+// limitBodyRead limits the time for the body of a request that is rejected before the body
+// was read: net/http reads the rest of the body before it responds, and a silent caller
+// never sends it. The rest may take as long as a header.
+func (g *Gate) limitBodyRead(c *call) {
+	if !c.hasBody() || c.bodyRequested {
 		return
 	}
 	_, head := g.callerTimeouts()
-	// A connection without deadlines is bounded by the request's context.
-	_ = c.rc.SetReadDeadline(clock.Deadline(min(head, max(0, c.left(g.clk.Now())))))
+	// A connection that does not support deadlines is bounded by the request's context.
+	_ = c.rc.SetReadDeadline(clock.Deadline(min(head, max(0, c.timeLeft(g.clk.Now())))))
 }
--- a/gate/server.go
+++ b/gate/server.go
@@ -10,12 +10,12 @@
 	"github.com/weldfall/weldfall/common/clock"
 )
 
-// Bounds towards callers that hold before the operators' are known.
+// Limits on callers until those of the operators are known.
 const (
-	maxHeader = 64 << 10
-	// headerTimeout bounds the time in which a head must arrive.
+	maxHeaderBytes = 64 << 10
+	// headerTimeout is how long a request header may take to arrive.
 	headerTimeout clock.Millis = 5000
-	// idleTimeout is how long an idle connection is kept.
+	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout clock.Millis = 60_000
 )
 
@@ -27,34 +27,34 @@
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
 	c.cancel = cancel
-	defer g.leave.done(c)
-	defer callers.Follow(ctx, cancel)()
+	defer g.shutdown.done(c)
+	defer callers.OnDisconnect(ctx, cancel)()
 	g.serve(ctx, c)
 	if c.reply.Aborted() {
-		callers.BreakOff(w, r)
+		callers.Abort(w, r)
 	}
 }
 
-// newCall returns the call of a request whose head has been read.
+// newCall returns the call for a request whose header has been read.
 func (g *Gate) newCall(w http.ResponseWriter, r *http.Request) *call {
 	now := g.clk.Now()
-	c := &call{w: w, rc: http.NewResponseController(w), r: r, start: now, until: now + longestHold}
+	c := &call{w: w, rc: http.NewResponseController(w), r: r, start: now, giveUpAt: now + maxRequestTime}
 	c.reply = g.replyTo(c)
 	return c
 }
 
-// Run serves callers on ln until ctx is done, and then until what is in
-// flight has finished or the grace is over.
+// Run serves callers on ln until ctx is done, and then until the requests in flight have
+// ended or the grace is over.
 func (g *Gate) Run(ctx context.Context, ln net.Listener) error {
 	srv := callers.New(callers.Config{
-		Handler: g, MaxHeader: maxHeader, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
+		Handler: g, MaxHeaderBytes: maxHeaderBytes, Timeouts: g.callerTimeouts, Link: g.cfg.Link, Clock: g.clk, Log: g.log,
 	})
 	sweepCtx, stopSweep := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSweep()
-	own := newSelfCheck(g.clk.Now())
+	self := newSelfCheck(g.clk.Now())
 	go clock.Every(sweepCtx, sweepPeriod, func() {
 		g.sweep()
-		own.look(g.clk.Now(), g.log)
+		self.check(g.clk.Now(), g.log)
 	})
 	done := make(chan struct{})
 	go func() {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// callerTimeouts returns how long a caller's connection may rest, and how long
-// a head may take, by the table in force.
+// callerTimeouts returns, by the table in force, how long a caller's connection may be idle
+// and how long a request header may take.
 func (g *Gate) callerTimeouts() (idle, head clock.Millis) {
 	idle, head = idleTimeout, headerTimeout
 	if t := g.table.Load(); t != nil {
@@ -79,12 +79,12 @@
 	return idle, head
 }
 
-// sweep drops what has outlived its use.
+// sweep discards expired state and logs retries.
 func (g *Gate) sweep() {
-	g.pool.Sweep()
+	g.pool.CloseExpired()
 	g.guard.Sweep()
-	g.logRepeats()
+	g.logRetries()
 }
 
-// sweepPeriod is how often a process looks after itself and its connections to engines.
+// sweepPeriod is the interval of sweeps and self-checks.
 const sweepPeriod clock.Millis = 1000
--- a/integration/cost_test.go
+++ b/integration/cost_test.go
@@ -15,24 +15,24 @@
 	"github.com/weldfall/weldfall/internal/fleettest"
 )
 
-// flow is what a number of streams cost.
-type flow struct {
+// streamStats holds the measurements of a number of streams.
+type streamStats struct {
 	first  []int64
 	tokens int
 }
 
-func (f *flow) median() float64 {
+func (f *streamStats) median() float64 {
 	slices.Sort(f.first)
 	return float64(f.first[len(f.first)/2]) / 1000
 }
 
-// stream runs rounds of n streams at a time against url.
-func stream(b *testing.B, url, key string, n, rounds, tokens int) *flow {
+// stream sends the given number of rounds of n concurrent streams to url.
+func stream(b *testing.B, url, key string, n, rounds, tokens int) *streamStats {
 	b.Helper()
 	clk := clock.System()
 	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: n}}
 	defer h.CloseIdleConnections()
-	out := &flow{}
+	out := &streamStats{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for s := range n {
@@ -70,23 +70,23 @@
 	return out
 }
 
-// BenchmarkPath measures the same load straight to an engine and through
-// entry and daemon, in one run: run it with -benchtime 1x.
+// BenchmarkPath measures the same load directly at an engine and through entry and daemon,
+// in one run. Run it with -benchtime 1x.
 func BenchmarkPath(b *testing.B) {
 	for _, gap := range []string{"5", "0"} {
 		for _, n := range []int{1, 64, 512} {
-			b.Run(fmt.Sprintf("gap_ms=%s/streams=%d", gap, n), func(b *testing.B) { path(b, gap, n) })
+			b.Run(fmt.Sprintf("gap_ms=%s/streams=%d", gap, n), func(b *testing.B) { benchmarkPath(b, gap, n) })
 		}
 	}
 }
 
-// BenchmarkRequest measures a request of one token: run it with -benchtime 1x.
+// BenchmarkRequest measures requests of one token. Run it with -benchtime 1x.
 func BenchmarkRequest(b *testing.B) {
 	f := fleettest.Start(b, fleettest.Spec{
 		Engines: 1, Entries: 1, Direct: true, Fleet: "[limits]\nqueue_per_engine = 1000\n",
 		EngineArgs: []string{"--gap-ms", "0", "--prefill", "0", "--slots", "1000"},
 	})
-	url, key := "http://"+f.Entries[0].Callers, fleettest.Key("planning", "ws0")
+	url, key := "http://"+f.Entries[0].CallerAddr, fleettest.Key("planning", "ws0")
 	stream(b, url, key, 64, 2, 1)
 	const rounds = 50
 	for b.Loop() {
@@ -97,14 +97,14 @@
 	}
 }
 
-func path(b *testing.B, gap string, n int) {
+func benchmarkPath(b *testing.B, gap string, n int) {
 	f := fleettest.Start(b, fleettest.Spec{
 		Engines: 1, Entries: 1, Direct: true, Fleet: "[limits]\nqueue_per_engine = 1000\n",
 		EngineArgs: []string{"--gap-ms", gap, "--prefill", "0", "--slots", "1000"},
 	})
 	rounds := max(2, 32/n)
 	const tokens = 100
-	engineURL, entryURL := "http://"+f.Engines[0].Addr, "http://"+f.Entries[0].Callers
+	engineURL, entryURL := "http://"+f.Engines[0].Addr, "http://"+f.Entries[0].CallerAddr
 	key := fleettest.Key("planning", "ws0")
 	stream(b, entryURL, key, n, 1, tokens)
 	stream(b, engineURL, key, n, 1, tokens)
@@ -120,8 +120,8 @@
 	}
 }
 
-// BenchmarkControl measures what a process spends at rest, while a setting
-// changes each second: run it with -benchtime 1x.
+// BenchmarkControl measures the idle cost of a process while a setting changes each second.
+// Run it with -benchtime 1x.
 func BenchmarkControl(b *testing.B) {
 	for _, engines := range []int{6, 27} {
 		b.Run(fmt.Sprint("processes=", engines+3), func(b *testing.B) {
@@ -130,17 +130,17 @@
 			d, e := f.EngineDaemons[0], f.Entries[0]
 			const seconds = 10
 			for b.Loop() {
-				cpu, bytes := d.CPUMicros(), d.Metric("weldfall_control_bytes_total")
-				entryCPU, entryBytes := e.CPUMicros(), e.Metric("weldfall_control_bytes_total")
+				cpu, bytes := d.CPUMicros(), d.MetricSum("weldfall_control_bytes_total")
+				entryCPU, entryBytes := e.CPUMicros(), e.MetricSum("weldfall_control_bytes_total")
 				calls := f.PlatformCalls()
 				for i := range seconds {
-					f.Put("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 10_000+i))
+					f.PutConfig("planning", fmt.Sprintf("[limits]\ndeadline_ms = %d\n", 10_000+i))
 					wait(1000)
 				}
 				b.ReportMetric((d.CPUMicros()-cpu)/1e4/seconds, "daemon_core_%")
 				b.ReportMetric((e.CPUMicros()-entryCPU)/1e4/seconds, "entry_core_%")
-				b.ReportMetric((d.Metric("weldfall_control_bytes_total")-bytes)/seconds, "daemon_B/s")
-				b.ReportMetric((e.Metric("weldfall_control_bytes_total")-entryBytes)/seconds, "entry_B/s")
+				b.ReportMetric((d.MetricSum("weldfall_control_bytes_total")-bytes)/seconds, "daemon_B/s")
+				b.ReportMetric((e.MetricSum("weldfall_control_bytes_total")-entryBytes)/seconds, "entry_B/s")
 				b.ReportMetric(d.MemoryBytes()/(1<<20), "daemon_MiB")
 				b.ReportMetric(e.MemoryBytes()/(1<<20), "entry_MiB")
 				b.ReportMetric(float64(f.PlatformCalls()-calls)/seconds, "platform_calls/s")
--- a/internal/days/playdays/main.go
+++ b/internal/days/playdays/main.go
@@ -1,6 +1,5 @@
-// Playdays writes days for the users' bench from seeds, has the bench play them
-// and prints what they came to. It exits with 1 if a rule was broken, with 2 if
-// days could not be written or played.
+// Playdays generates days for the users' bench from seeds, has the bench run them and prints the
+// results. It exits with 1 if a rule was broken, and with 2 if days could not be written or run.
 package main
 
 import (
@@ -17,14 +16,14 @@
 )
 
 type args struct {
-	Bench  days.Bench `arg:"positional,required" help:"path of the bench; run this from the root of the code that it is to play"`
+	Bench  days.Bench `arg:"positional,required" help:"path of the bench; run this in the root of the code under test"`
 	Site   string     `arg:"positional,required" help:"path of a site file"`
-	Dir    string     `arg:"--dir,required" help:"folder for day files, output and a changed site file"`
-	Deploy []string   `arg:"--deploy" help:"odd deployments: edits of the site file, applied in order"`
-	Jobs   int        `arg:"--jobs" default:"2" help:"days that are played at once"`
-	Why    string     `arg:"--why" default:"Days of our own" help:"line for the journal"`
-	List   bool       `arg:"--list" help:"write the days, play none"`
-	days.Wanted
+	Dir    string     `arg:"--dir,required" help:"directory for day files, output and an edited site file"`
+	Deploy []string   `arg:"--deploy" help:"unusual deployments: edits of the site file, applied in order"`
+	Jobs   int        `arg:"--jobs" default:"2" help:"days to run in parallel"`
+	Why    string     `arg:"--why" default:"Days of our own" help:"text for the journal"`
+	List   bool       `arg:"--list" help:"write the days, but do not run them"`
+	days.Options
 }
 
 func main() {
@@ -37,7 +36,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "playdays:", err)
-	if errors.Is(err, days.ErrBroken) {
+	if errors.Is(err, days.ErrRulesBroken) {
 		os.Exit(1)
 	}
 	os.Exit(2)
@@ -46,7 +45,7 @@
 func run(ctx context.Context, a args) error {
 	err := os.MkdirAll(a.Dir, 0o755)
 	if err == nil && len(a.Deploy) > 0 {
-		a.Site, err = days.Change(a.Site, a.Dir, a.Deploy)
+		a.Site, err = days.WriteEdited(a.Site, a.Dir, a.Deploy)
 	}
 	if err != nil {
 		return err
@@ -63,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	all, err := site.Draw(kinds, a.Wanted)
+	all, err := site.Draw(kinds, a.Options)
 	if err != nil {
 		return err
 	}
@@ -79,5 +78,5 @@
 		return nil
 	}
 	plays := a.Bench.PlayAll(ctx, a.Site, a.Dir, all, a.Jobs, a.Why)
-	return days.Tell(os.Stdout, plays, fmt.Sprintf("%s run %s", a.Bench, a.Site))
+	return days.WriteReport(os.Stdout, plays, fmt.Sprintf("%s run %s", a.Bench, a.Site))
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -14,7 +14,8 @@
 	"github.com/weldfall/weldfall/link/wire"
 )
 
-// peer answers "echo" and keeps what else it gets, in order.
+// peer echoes calls of "echo", streams frames for "stream" and records other messages in
+// order.
 type peer struct {
 	mu  sync.Mutex
 	got []string
@@ -71,7 +72,7 @@
 	return pool, ln.Addr().String(), cancel
 }
 
-func TestFramesComeInOrderAndBeforeTheResult(t *testing.T) {
+func TestFramesArriveInOrderAndBeforeTheResult(t *testing.T) {
 	p := &peer{}
 	pool, addr, _ := connect(t, p)
 	c, err := pool.Get(addr, link.Data)
@@ -97,7 +98,7 @@
 	}
 }
 
-func TestAPoolKeepsOneConnectionAndDialsAgainAfterItEnds(t *testing.T) {
+func TestAPoolKeepsOneConnectionAndRedialsAfterItEnds(t *testing.T) {
 	pool, addr, stop := connect(t, &peer{})
 	first, err := pool.Get(addr, link.Control)
 	if err != nil {
@@ -107,7 +108,7 @@
 		t.Error("got another connection, want the same")
 	}
 	if first.PeerBootID() != link.BootID() {
-		t.Errorf("got boot %d, want this process's %d", first.PeerBootID(), link.BootID())
+		t.Errorf("got boot ID %d, want this process's %d", first.PeerBootID(), link.BootID())
 	}
 	first.Close()
 	<-first.Done()
--- a/measure/load/load.go
+++ b/measure/load/load.go
@@ -18,21 +18,20 @@
 	"github.com/weldfall/weldfall/measure/trace"
 )
 
-// Config sets up a load. Rate and Duration bound it.
+// Config describes a load, which Rate and Duration limit.
 type Config struct {
 	// URLs are the entries; requests go to them in turn.
 	URLs []string
-	// Pages are admin addresses of entries, for skew and control bytes.
-	Pages []string
-	// Keys are the bearer keys of the workspaces, the large ones first.
+	// AdminURLs are the admin addresses of entries, used for skew and control bytes.
+	AdminURLs []string
+	// Keys are the bearer keys of the workspaces, in descending order of load.
 	Keys  []string
 	Model string
 	Shape Shape
-	// Rate is requests a second, opening and returning turns together.
+	// Rate is in requests per second, opening and returning turns together.
 	Rate     float64
 	Duration clock.Millis
-	// MaxInFlight bounds the open requests; arrivals beyond it are counted
-	// and dropped.
+	// MaxInFlight limits the open requests; arrivals beyond it are counted and dropped.
 	MaxInFlight int
 	Seed        uint64
 	Clock       *clock.Clock
@@ -42,27 +41,28 @@
 type Report struct {
 	Requests int            `json:"requests"`
 	Dropped  int            `json:"dropped"`
-	Whole    int            `json:"whole"`
+	Complete int            `json:"whole"`
 	Verdicts map[string]int `json:"verdicts"`
-	// Reasons counts failures by reason or transport error.
+	// Reasons counts failures by reason, "transport" for transport errors.
 	Reasons map[string]int `json:"reasons,omitempty"`
-	// Reuse is the cached share of the tokens that earlier turns left.
+	// Reuse is the cached share of the tokens of earlier turns.
 	Reuse     float64 `json:"reuse"`
 	Returning int     `json:"returning"`
 	// Latencies are in milliseconds.
-	First   Latency `json:"first_token"`
-	Between Latency `json:"between_tokens"`
-	Total   Latency `json:"total"`
-	// Skew is the highest load of an engine over the mean of its pool, as
-	// the entries see it, while the mean is at least one request.
+	FirstToken    Latency `json:"first_token"`
+	BetweenTokens Latency `json:"between_tokens"`
+	Total         Latency `json:"total"`
+	// Skew is the ratio of the highest to the mean load of the engines of a pool, as
+	// reported by an entry, while the mean is at least one request.
 	SkewP50 float64 `json:"skew_p50"`
 	SkewP99 float64 `json:"skew_p99"`
 	SkewMax float64 `json:"skew_max"`
-	// ControlBytesPerSecond is by kind, of the first page's process.
+	// ControlBytesPerSecond is by direction and kind, for the process of the first admin
+	// URL.
 	ControlBytesPerSecond map[string]float64 `json:"control_bytes_per_second,omitempty"`
 }
 
-// Latency is percentiles in milliseconds.
+// Latency holds percentiles in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -70,24 +70,24 @@
 }
 
 const (
-	histHigh   = 600_000_000
-	histDigits = 3
+	maxLatencyMicros = 600_000_000
+	latencyDigits    = 3
 )
 
-func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, histHigh, histDigits) }
+func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, latencyDigits) }
 
 func latencyOf(h *hdrhistogram.Histogram) Latency {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Latency{ms(50), ms(95), ms(99)}
 }
 
-// chatState is one chat between its turns.
+// chatState is a chat between its turns.
 type chatState struct {
 	id, turn, workspace int
 	messages            []message
-	// left is the prompt and answer of the latest turn, in tokens.
-	left int
-	due  clock.Millis
+	// previousTokens is the size of the prompt and response of the latest turn.
+	previousTokens int
+	returnAt       clock.Millis
 }
 
 type runner struct {
@@ -95,22 +95,23 @@
 	http *http.Client
 	zipf *rand.Zipf
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	waiting chatHeap
-	rep     Report
-	turns   []trace.Turn
-	cached  int
-	shared  int
-	chats   int
+	mu        sync.Mutex
+	rnd       *rand.Rand
+	idleChats chatHeap
+	rep       Report
+	turns     []trace.Turn
+	cached    int
+	shared    int
+	chats     int
 
 	first, between, total, skew *hdrhistogram.Histogram
 }
 
-// Run sends the load and returns what came back with the recorded arrivals.
+// Run sends the load and returns a report and the recorded arrivals. It fails if the
+// configuration lacks an entry, a key, a rate or a duration.
 func Run(ctx context.Context, cfg Config) (Report, []trace.Turn, error) {
 	if len(cfg.URLs) == 0 || len(cfg.Keys) == 0 || cfg.Rate <= 0 || cfg.Duration <= 0 {
-		return Report{}, nil, fmt.Errorf("load: needs an entry, a key, a rate and a duration")
+		return Report{}, nil, fmt.Errorf("load: the configuration needs a URL, a key, a rate and a duration")
 	}
 	t := &http.Transport{MaxIdleConnsPerHost: cfg.MaxInFlight, MaxIdleConns: 0}
 	defer t.CloseIdleConnections()
@@ -126,17 +127,17 @@
 	var watch sync.WaitGroup
 	watch.Go(func() { r.watchSkew(watchCtx) })
 	start := cfg.Clock.Now()
-	r.arrive(ctx, start)
+	r.sendArrivals(ctx, start)
 	stopWatch()
 	watch.Wait()
 	r.finish(before, cfg.Clock.Now()-start)
-	slices.SortFunc(r.turns, func(a, b trace.Turn) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(r.turns, func(a, b trace.Turn) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	return r.rep, r.turns, nil
 }
 
-// arrive sends turns at the rate, as a Poisson process: a chat that is due to
-// return if there is one, else a new one.
-func (r *runner) arrive(ctx context.Context, start clock.Millis) {
+// sendArrivals sends turns at the rate, as a Poisson process. Each turn belongs to a chat
+// that is due to return if there is one, else to a new chat.
+func (r *runner) sendArrivals(ctx context.Context, start clock.Millis) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	slots := make(chan struct{}, max(1, r.cfg.MaxInFlight))
@@ -162,7 +163,7 @@
 		c := r.nextChat()
 		wg.Go(func() {
 			defer func() { <-slots }()
-			r.turn(ctx, c, r.cfg.URLs[n%len(r.cfg.URLs)], r.cfg.Clock.Now()-start)
+			r.runTurn(ctx, c, r.cfg.URLs[n%len(r.cfg.URLs)], r.cfg.Clock.Now()-start)
 		})
 	}
 }
@@ -170,48 +171,48 @@
 func (r *runner) nextChat() *chatState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.waiting) > 0 && r.waiting[0].due <= r.cfg.Clock.Now() {
-		return heap.Pop(&r.waiting).(*chatState)
+	if len(r.idleChats) > 0 && r.idleChats[0].returnAt <= r.cfg.Clock.Now() {
+		return heap.Pop(&r.idleChats).(*chatState)
 	}
 	r.chats++
 	return &chatState{id: r.chats, workspace: workspace(r.zipf)}
 }
 
-func (r *runner) turn(ctx context.Context, c *chatState, url string, at clock.Millis) {
+func (r *runner) runTurn(ctx context.Context, c *chatState, url string, at clock.Millis) {
 	s := r.cfg.Shape
 	r.mu.Lock()
 	size := s.TurnTokens
 	if c.turn == 0 {
 		size = s.OpeningTokens
 	}
-	c.messages = append(c.messages, message{"user", text(r.rnd, s.tokens(r.rnd, size))})
+	c.messages = append(c.messages, message{"user", randomText(r.rnd, s.tokens(r.rnd, size))})
 	out := s.output(r.rnd)
 	r.mu.Unlock()
-	res := ask(ctx, r.http, r.cfg.Clock, url, r.cfg.Keys[c.workspace], chatRequest{
-		Model: r.cfg.Model, Stream: true, MaxTokens: out, Messages: c.messages, StreamOptions: &options{true},
+	res := sendTurn(ctx, r.http, r.cfg.Clock, url, r.cfg.Keys[c.workspace], chatRequest{
+		Model: r.cfg.Model, Stream: true, MaxTokens: out, Messages: c.messages, StreamOptions: &streamOptions{true},
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count(c, res)
-	if !res.whole {
+	r.recordResponse(c, res)
+	if !res.complete {
 		return
 	}
-	r.turns = append(r.turns, trace.Turn{At: at, Chat: c.id, Number: c.turn, Workspace: c.workspace, Prompt: res.prompt, Shared: min(c.left, res.prompt), Output: res.tokens})
+	r.turns = append(r.turns, trace.Turn{Arrival: at, Chat: c.id, Number: c.turn, Workspace: c.workspace, PromptTokens: res.prompt, SharedTokens: min(c.previousTokens, res.prompt), OutputTokens: res.tokens})
 	if c.turn > 0 {
 		r.rep.Returning++
-		r.cached += min(res.cached, c.left)
-		r.shared += c.left
+		r.cached += min(res.cached, c.previousTokens)
+		r.shared += c.previousTokens
 	}
 	c.turn++
-	c.left = res.prompt + 1 + len(res.content)/4
+	c.previousTokens = res.prompt + 1 + len(res.content)/4
 	c.messages = append(c.messages, message{"assistant", res.content})
-	if r.rnd.Float64() < s.Return && res.prompt < maxPromptTokens {
-		c.due = r.cfg.Clock.Now() + s.pause(r.rnd)
-		heap.Push(&r.waiting, c)
+	if r.rnd.Float64() < s.ReturnProbability && res.prompt < maxPromptTokens {
+		c.returnAt = r.cfg.Clock.Now() + s.pause(r.rnd)
+		heap.Push(&r.idleChats, c)
 	}
 }
 
-func (r *runner) count(_ *chatState, res reply) {
+func (r *runner) recordResponse(_ *chatState, res response) {
 	r.rep.Requests++
 	v := res.verdict
 	if v == "" {
@@ -219,8 +220,8 @@
 	}
 	r.rep.Verdicts[v]++
 	switch {
-	case res.whole:
-		r.rep.Whole++
+	case res.complete:
+		r.rep.Complete++
 		_ = r.first.RecordValue(res.firstMicros)
 		_ = r.between.RecordValue(res.gapMicros)
 		_ = r.total.RecordValue(res.totalMicros)
@@ -232,7 +233,7 @@
 }
 
 func (r *runner) finish(before map[string]float64, took clock.Millis) {
-	r.rep.First, r.rep.Between, r.rep.Total = latencyOf(r.first), latencyOf(r.between), latencyOf(r.total)
+	r.rep.FirstToken, r.rep.BetweenTokens, r.rep.Total = latencyOf(r.first), latencyOf(r.between), latencyOf(r.total)
 	if r.shared > 0 {
 		r.rep.Reuse = float64(r.cached) / float64(r.shared)
 	}
@@ -245,11 +246,11 @@
 	}
 }
 
-// WriteText writes the report for a person.
+// WriteText writes the report as text.
 func (r Report) WriteText(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "requests        %d, %d whole, %d dropped by the client\nverdicts        %v %v\ncache reuse     %.1f%% of %d returning turns' shared tokens\nfirst token     p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nbetween tokens  p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\ntotal           p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nskew            p50 %.2f  p99 %.2f  max %.2f\ncontrol B/s     %v\n",
-		r.Requests, r.Whole, r.Dropped, r.Verdicts, r.Reasons, 100*r.Reuse, r.Returning,
-		r.First.P50, r.First.P95, r.First.P99, r.Between.P50, r.Between.P95, r.Between.P99,
+	_, err := fmt.Fprintf(w, "requests        %d, %d complete, %d dropped by the client\nverdicts        %v %v\ncache reuse     %.1f%% of %d returning turns' shared tokens\nfirst token     p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nbetween tokens  p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\ntotal           p50 %.1f ms  p95 %.1f ms  p99 %.1f ms\nskew            p50 %.2f  p99 %.2f  max %.2f\ncontrol B/s     %v\n",
+		r.Requests, r.Complete, r.Dropped, r.Verdicts, r.Reasons, 100*r.Reuse, r.Returning,
+		r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.BetweenTokens.P50, r.BetweenTokens.P95, r.BetweenTokens.P99,
 		r.Total.P50, r.Total.P95, r.Total.P99, r.SkewP50, r.SkewP99, r.SkewMax, roundAll(r.ControlBytesPerSecond))
 	return err
 }
@@ -267,13 +268,13 @@
 	return b.String()
 }
 
-// chatHeap orders chats by the time of their return.
+// chatHeap orders chats by the time of their next turn.
 type chatHeap []*chatState
 
 var _ heap.Interface = (*chatHeap)(nil)
 
 func (h chatHeap) Len() int           { return len(h) }
-func (h chatHeap) Less(i, j int) bool { return h[i].due < h[j].due }
+func (h chatHeap) Less(i, j int) bool { return h[i].returnAt < h[j].returnAt }
 func (h chatHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
--- a/measure/soak/process.go
+++ b/measure/soak/process.go
@@ -19,27 +19,27 @@
 	"github.com/weldfall/weldfall/platform/standin"
 )
 
-// gate is one process.
+// gate is one gate process.
 type gate struct {
-	cfg     Config
-	boot    string
-	callers string
-	peers   string
-	store   *proxy.Link
-	logs    *os.File
-	number  int
-	rec     *record
+	cfg          Config
+	settingsFile string
+	callersAddr  string
+	peersAddr    string
+	store        *proxy.Link
+	logs         *os.File
+	number       int
+	rec          *record
 
-	// restarting makes overlapping restarts one after the other.
+	// restarting serializes restarts.
 	restarting sync.Mutex
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// done is closed when the present process has ended.
-	done  chan struct{}
-	lives int
-	over  bool
-	// suspended is for how long the gate was suspended in all, guarded by restarting.
+	// exited is closed when the current process has exited.
+	exited chan struct{}
+	starts int
+	closed bool
+	// suspended is the total time for which the gate was suspended, guarded by restarting.
 	suspended time.Duration
 }
 
@@ -48,48 +48,47 @@
 	if err != nil {
 		return nil, err
 	}
-	boot := standin.Boot{Revocation: revocation, RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: retryWindow, Leaving: rec.leaving}
+	boot := standin.Settings{Revocation: revocationBound, RetryRatio: retryRatio, RetryExtra: retryExtra, RetryWindow: retryWindow, Leaving: rec.drainBound}
 	if cfg.Play == Growing {
-		l.Pace(slowLink)
+		l.SetRate(slowLink)
 		boot.LinkMbps, boot.Change = slowLink/bytesPerMegabit, changeBound
 	}
 	var addrs []string
 	for range 3 {
-		a, err := freeAddr()
+		a, err := unusedAddr()
 		if err != nil {
 			return nil, err
 		}
 		addrs = append(addrs, a)
 	}
-	g := &gate{cfg: cfg, boot: filepath.Join(cfg.Dir, fmt.Sprintf("gate-%d.toml", i)), callers: addrs[0], peers: addrs[2], store: l, number: i, rec: rec}
+	g := &gate{cfg: cfg, settingsFile: filepath.Join(cfg.Dir, fmt.Sprintf("gate-%d.toml", i)), callersAddr: addrs[0], peersAddr: addrs[2], store: l, number: i, rec: rec}
 	boot.Number, boot.Seeds, boot.Store = i, seeds, l.Addr()
 	boot.Callers, boot.Readiness, boot.Peers = addrs[0], addrs[1], addrs[2]
-	if err := os.WriteFile(g.boot, []byte(standin.BootText(boot)), 0o600); err != nil {
+	if err := os.WriteFile(g.settingsFile, []byte(standin.SettingsText(boot)), 0o600); err != nil {
 		return nil, err
 	}
-	// One of a run before counts for nothing.
-	_ = os.Remove(g.suspensions())
-	g.logs, err = os.Create(strings.TrimSuffix(g.boot, ".toml") + ".log")
+	// A file of an earlier run does not count.
+	_ = os.Remove(g.suspensionFile())
+	g.logs, err = os.Create(strings.TrimSuffix(g.settingsFile, ".toml") + ".log")
 	return g, err
 }
 
-// Ports of gates lie below those that the system hands out to connections that
-// are opened: one of these could take a gate's port while it is restarted.
+// Ports of gates lie below the ephemeral ports: an outgoing connection could take the port
+// of a gate that is restarting.
 const (
 	firstPort = 12_000
 	lastPort  = 32_000
 )
 
-// nextPort is the port to be tried next; runs of other processes most likely
-// begin elsewhere.
+// nextPort is the next port to try. It starts at random, so that concurrent runs most
+// likely use other ports.
 var nextPort = struct {
 	sync.Mutex
 	n int
 }{n: firstPort + rand.IntN(lastPort-firstPort)}
 
-// freeAddr returns an address that nobody listens on and that is given to no
-// other gate.
-func freeAddr() (string, error) {
+// unusedAddr returns an address that no one listens on and that no other gate has.
+func unusedAddr() (string, error) {
 	nextPort.Lock()
 	defer nextPort.Unlock()
 	var err error
@@ -103,48 +102,48 @@
 			return addr, ln.Close()
 		}
 	}
-	return "", fmt.Errorf("no free port from %d to %d: %w", firstPort, lastPort, err)
+	return "", fmt.Errorf("no unused port from %d to %d: %w", firstPort, lastPort, err)
 }
 
-// begin starts the process and does not wait until it listens.
-func (g *gate) begin() error {
+// start starts the process and does not wait until it listens.
+func (g *gate) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.over {
+	if g.closed {
 		return nil
 	}
 	cmd := exec.Command(g.cfg.Binary, "gate", "--metrics-port", "0")
-	cmd.Env = append(os.Environ(), append(g.cfg.Env, platform.BootFile+"="+g.boot, clocktest.SuspensionsEnv+"="+g.suspensions())...)
+	cmd.Env = append(os.Environ(), append(g.cfg.Env, platform.SettingsFileEnv+"="+g.settingsFile, clocktest.SuspensionsEnv+"="+g.suspensionFile())...)
 	cmd.Stdout, cmd.Stderr = g.logs, g.logs
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start gate: %w", err)
 	}
 	done := make(chan struct{})
-	g.cmd, g.done = cmd, done
-	g.lives++
+	g.cmd, g.exited = cmd, done
+	g.starts++
 	go func() {
 		defer close(done)
-		// The rest of how it ended is in its log.
+		// Further details of the exit are in the log of the process.
 		if err := cmd.Wait(); err != nil {
-			fmt.Fprintf(g.logs, "soak: gate-%d ended: %v\n", g.number, err)
+			fmt.Fprintf(g.logs, "soak: gate-%d exited: %v\n", g.number, err)
 		}
 	}()
 	return nil
 }
 
-// signal sends a signal to the present process.
+// signal sends a signal to the current process.
 func (g *gate) signal(s syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd != nil {
-		// A process that has ended needs no signal.
+		// A process that has exited needs no signal.
 		_ = g.cmd.Process.Signal(s)
 	}
 }
 
-// restart ends the process by a signal and starts it again, unless its turn
-// comes later than by: restarts wait for one another, and a gate that returns
-// at the end of the run says nothing of recovery.
+// restart ends the process by a signal and starts it again. Restarts wait for each other;
+// one that could only begin after the time by does nothing, since a gate that returns at
+// the end of the run says nothing about recovery.
 func (g *gate) restart(s syscall.Signal, by time.Time) {
 	g.restarting.Lock()
 	defer g.restarting.Unlock()
@@ -152,46 +151,46 @@
 		return
 	}
 	g.mu.Lock()
-	done := g.done
+	done := g.exited
 	g.mu.Unlock()
 	at := time.Now()
 	g.signal(s)
 	select {
 	case <-done:
-	case <-time.After(restartLimit):
+	case <-time.After(stopTimeout):
 		killed := time.Now()
 		g.signal(syscall.SIGKILL)
 		<-done
-		g.rec.killedLate(trouble{kind: Kill, gate: g.number, from: killed, until: time.Now()})
+		g.rec.addLateKill(disturbance{kind: Kill, gate: g.number, from: killed, until: time.Now()})
 	}
 	if s == syscall.SIGTERM {
-		g.rec.stopped(stopped{gate: g.number, at: at, gone: time.Now()})
+		g.rec.addStop(plannedStop{gate: g.number, signaledAt: at, exitedAt: time.Now()})
 	}
-	// The next trouble or the judgement shows a gate that did not start.
-	_ = g.begin()
+	// A gate that fails to start shows in the next step or in the checks.
+	_ = g.start()
 }
 
-// reload has the process read its settings again. One that has not told yet that it
-// started does not catch signals, and would end by this one.
+// reload makes the process read its settings again. A process that has not logged its start
+// yet does not catch SIGHUP and would be terminated by it.
 func (g *gate) reload() {
 	g.mu.Lock()
-	lives := g.lives
+	starts := g.starts
 	g.mu.Unlock()
-	// A log that cannot be read shows no start.
-	told, _ := os.ReadFile(g.logs.Name())
-	if bytes.Count(told, []byte("msg=started ")) == lives {
+	// If the log cannot be read, the process counts as not started.
+	log, _ := os.ReadFile(g.logs.Name())
+	if bytes.Count(log, []byte("msg=started ")) == starts {
 		g.signal(syscall.SIGHUP)
 	}
 }
 
-// restartLimit is when a process is killed that was told to stop. The grace is
-// its own to keep, so a second is added.
-const restartLimit = standin.Grace + time.Second
+// stopTimeout is when a process that was asked to stop is killed. The process must keep its
+// grace period itself, so a second is added.
+const stopTimeout = standin.Grace + time.Second
 
-func (g *gate) end() {
+func (g *gate) close() {
 	g.mu.Lock()
-	g.over = true
-	done := g.done
+	g.closed = true
+	done := g.exited
 	g.mu.Unlock()
 	g.signal(syscall.SIGCONT)
 	g.signal(syscall.SIGKILL)
@@ -199,6 +198,6 @@
 		<-done
 	}
 	g.store.Close()
-	// The log has been written by the process.
+	// The process has written its log.
 	_ = g.logs.Close()
 }
--- a/route/admit.go
+++ b/route/admit.go
@@ -2,71 +2,71 @@
 
 import "github.com/weldfall/weldfall/link/wire"
 
-// Offer is a request at the daemon of the engine it was sent to.
+// Offer is a request for an engine, as the engine's daemon receives it.
 type Offer struct {
 	Chat uint64
 	Mode wire.Mode
 }
 
-// State is what the daemon knows for certain or believes of its engine.
+// State is the state of an engine and its pool as the engine's daemon knows it.
 type State struct {
 	Engine string
-	// Requests is the exact number running or waiting here.
+	// Requests is the exact number of running and waiting requests.
 	Requests int
 	Slots    int
-	// Mean is the pool's mean load per slot, below zero if unknown; Engines
-	// is the pool's size.
-	Mean    float64
-	Engines int
-	Bound   float64
-	Floor   int
-	Leaving bool
-	// Owed is true when the requester's partner has less than its share of an
-	// engine where others wait; their queue is not held against it.
-	Owed bool
+	// Mean is the pool's mean load per slot, negative if it is unknown. Engines is the
+	// number of engines in the pool.
+	Mean     float64
+	Engines  int
+	Bound    float64
+	Floor    int
+	Draining bool
+	// UnderShare is true if the request's partner has less than its share of the engine
+	// while others wait. The load limit doesn't apply then, because the queue is theirs.
+	UnderShare bool
 }
 
-// Answer is what the daemon makes of an offer: Admit, Redirect or Refuse.
-type Answer interface{ answer() }
+// Admission is a daemon's decision on an offer: Admit, Redirect or Refuse.
+type Admission interface{ admission() }
 
-// Admit takes the request.
+// Admit accepts the request.
 type Admit struct{}
 
-// Redirect names the engine where the chat's latest turn ran. Cached is what
-// this engine still holds of earlier turns, in tokens.
+// Redirect names the engine that ran the chat's latest turn. Cached is the number of
+// tokens of earlier turns that this engine still caches.
 type Redirect struct {
 	Engine string
 	Cached int
 }
 
-// Refuse turns the request away, for the load or because the engine leaves,
-// or because it has nothing of the chat.
+// Refuse rejects the request because the engine drains, has nothing of the chat cached, or
+// is over its load limit.
 type Refuse struct {
-	Leaving   bool
+	Draining  bool
 	NotCached bool
 	OverBound bool
 }
 
-func (Admit) answer()    {}
-func (Redirect) answer() {}
-func (Refuse) answer()   {}
+func (Admit) admission()    {}
+func (Redirect) admission() {}
+func (Refuse) admission()   {}
 
-// Decide answers an offer. The daemon is authoritative: entries act on old
-// views, and this is where a wrong guess is put right.
-func Decide(o Offer, s State, b *Book) Answer {
-	if s.Leaving {
-		return Refuse{Leaving: true}
+// Decide returns a daemon's decision on an offer. It is authoritative: entries choose
+// engines by stale views, and this decision corrects them.
+func Decide(o Offer, s State, index *CacheIndex) Admission {
+	if s.Draining {
+		return Refuse{Draining: true}
 	}
 	if o.Mode == wire.ModeCachedOnly {
-		cached := b.Cached(o.Chat)
-		if at := b.PlacedAt(o.Chat); at != "" && at != s.Engine {
-			return Redirect{Engine: at, Cached: cached}
+		cached := index.CachedTokens(o.Chat)
+		if engine := index.Placement(o.Chat); engine != "" && engine != s.Engine {
+			return Redirect{Engine: engine, Cached: cached}
 		}
 		if cached == 0 {
 			return Refuse{NotCached: true}
 		}
 	}
-	if o.Mode != wire.ModeForce && !s.Owed && s.Mean >= 0 && s.Requests+1 > Limit(s.Bound, s.Mean, s.Floor, s.Slots, s.Engines) {
+	if o.Mode != wire.ModeForce && !s.UnderShare && s.Mean >= 0 && s.Requests+1 > Limit(s.Bound, s.Mean, s.Floor, s.Slots, s.Engines) {
 		return Refuse{OverBound: true}
 	}
 	return Admit{}
