--- a/internal/heaptest/heaptest.go
+++ b/internal/heaptest/heaptest.go
@@ -1,19 +1,18 @@
-// Package heaptest measures what data costs in memory, for tests.
+// Package heaptest measures the heap use of data in tests.
 package heaptest
 
 import "runtime"
 
-// BytesPerItem returns the heap bytes that the value returned by build costs,
-// divided by n.
+// BytesPerItem returns the heap use of the value that build returns, divided by its n items.
 func BytesPerItem[T any](n int, build func() T) float64 {
-	before := inUse()
+	before := heapBytes()
 	v := build()
-	used := float64(inUse()-before) / float64(n)
+	used := float64(heapBytes()-before) / float64(n)
 	runtime.KeepAlive(v)
 	return used
 }
 
-func inUse() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/largetest/largetest.go
+++ b/internal/largetest/largetest.go
@@ -1,4 +1,4 @@
-// Package largetest answers with more than a client reads.
+// Package largetest provides HTTP responses that are larger than a client accepts.
 package largetest
 
 import (
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// pieceBytes is the size of what is written at once.
-const pieceBytes = 1 << 20
+// chunkBytes is the size of one write.
+const chunkBytes = 1 << 20
 
-// OverLimit answers with one byte more of blanks than a limit in bytes.
+// OverLimit returns a handler whose response body is one byte longer than a limit in bytes.
 func OverLimit(limit int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(limit+1))
-		piece := []byte(strings.Repeat(" ", pieceBytes))
+		chunk := []byte(strings.Repeat(" ", chunkBytes))
 		var err error
-		for left := limit + 1; left > 0 && err == nil; left -= len(piece) {
-			_, err = w.Write(piece[:min(len(piece), left)])
+		for remaining := limit + 1; remaining > 0 && err == nil; remaining -= len(chunk) {
+			_, err = w.Write(chunk[:min(len(chunk), remaining)])
 		}
 	})
 }
